--- a/Libraries/LibMembership/Forward.h
+++ b/Libraries/LibMembership/Forward.h
@@ -2,7 +2,7 @@
 
 namespace Stagepost {
 
-class HallReach;
+class HallReachability;
 class Membership;
 class UpdateQueue;
 struct MemberUpdate;
--- a/Libraries/LibMembership/MemberState.h
+++ b/Libraries/LibMembership/MemberState.h
@@ -5,18 +5,17 @@
 
 namespace Stagepost {
 
-// The states in the order in which one goes before another when both are said
-// of the same version of a member.
+// Of two states with the same version, the later enumerator takes precedence.
 enum class MemberState : uint8_t {
     Alive,
     Suspect,
-    // Said by the member itself: it finishes what it has and then stops.
+    // Announced by the member itself: it finishes its open requests and then stops.
     Leaving,
     Dead,
 };
 
-// News of one member. The incarnation and, within it, the version order what is
-// said of a member; the member alone raises its version, to refute what others say.
+// A statement about one member. Updates are ordered by incarnation, then by version.
+// Only the member itself raises its version, to refute statements of others.
 struct MemberUpdate {
     VMId member;
     HallId hall;
@@ -24,7 +23,7 @@
     uint64_t version { 0 };
     MemberState state { MemberState::Alive };
 
-    // Whether this goes before the other, which is of the same member.
+    // Whether this update supersedes the other one, which must be of the same member.
     bool overrides(MemberUpdate const& other) const
     {
         if (incarnation != other.incarnation)
@@ -41,8 +40,8 @@
     Gone,
 };
 
-// News of one upstream from the platform's list, passed on to daemons that
-// cannot read the list. The list's version orders it.
+// The state of one upstream in the platform's list, forwarded to daemons that cannot
+// read the list. Updates are ordered by the version of the list.
 struct UpstreamUpdate {
     UpstreamId upstream;
     uint64_t listVersion { 0 };
--- a/Libraries/LibMembership/Members.h
+++ b/Libraries/LibMembership/Members.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// The public header of LibMembership: which daemons are there, which are leaving
-// and which halls can be reached, as one daemon knows it.
+// Umbrella header of LibMembership: the daemons, upstreams and halls of the fleet
+// as the local daemon sees them.
 
 #include <LibMembership/EmptiedHalls.h>
-#include <LibMembership/HallReach.h>
+#include <LibMembership/HallReachability.h>
 #include <LibMembership/MemberState.h>
 #include <LibMembership/Membership.h>
 #include <LibMembership/MembershipMessage.h>
--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-    constexpr size_t indirectProbes = 3;
-    constexpr size_t representatives = 2;
-    // One in this many pings goes to a daemon that is taken for dead, so that two
-    // sides of a healed cut find each other.
-    constexpr uint64_t deadPingShare = 8;
-    constexpr Microseconds relayPatience { 2000000 };
+    constexpr size_t maxPingRequests = 3;
+    constexpr size_t representativesPerHall = 2;
+    // On average one in this many pings goes to a dead daemon, so that the sides of a
+    // healed network partition find each other again.
+    constexpr uint64_t pingsPerDeadPing = 8;
+    constexpr Microseconds forwardedPingTimeout { 2000000 };
 
     template <typename Entry>
     void shuffle(std::vector<Entry>& entries, RandomHook const& random)
@@ -27,9 +27,9 @@
     , m_hall(hall)
     , m_incarnation(incarnation)
     , m_hooks(std::move(hooks))
-    , m_halls(hall)
+    , m_hallReachability(hall)
 {
-    m_updates.push(ownUpdate());
+    m_updateQueue.push(ownUpdate());
 }
 
 MemberUpdate Membership::ownUpdate() const
@@ -37,22 +37,22 @@
     return { m_self, m_hall, m_incarnation, m_version, m_isLeaving ? MemberState::Leaving : MemberState::Alive };
 }
 
-void Membership::addListed(VMId member, HallId hall, Instant now)
+void Membership::addMember(VMId member, HallId hall, Instant now)
 {
-    m_halls.add(hall, now);
+    m_hallReachability.add(hall, now);
     if (member == m_self)
         return;
     if (m_members.try_emplace(member, Member { { member, hall, {}, 0, MemberState::Alive }, {}, false }).second)
         m_hooks.changed();
 }
 
-void Membership::removeListed(VMId member)
+void Membership::removeMember(VMId member)
 {
     if (m_members.erase(member))
         m_hooks.changed();
 }
 
-void Membership::addUpstreamNews(UpstreamUpdate const& update)
+void Membership::addUpstreamUpdate(UpstreamUpdate const& update)
 {
     apply(update);
 }
@@ -63,7 +63,7 @@
         return;
     m_isLeaving = isLeaving;
     ++m_version;
-    m_updates.push(ownUpdate());
+    m_updateQueue.push(ownUpdate());
 }
 
 MemberState Membership::stateOf(VMId member) const
@@ -74,13 +74,13 @@
     return found == m_members.end() ? MemberState::Dead : found->second.update.state;
 }
 
-UpstreamUpdate const* Membership::upstreamNews(UpstreamId upstream) const
+UpstreamUpdate const* Membership::lastUpstreamUpdate(UpstreamId upstream) const
 {
     auto const found = m_upstreams.find(upstream);
     return found == m_upstreams.end() ? nullptr : &found->second;
 }
 
-std::vector<VMId> Membership::neighbours() const
+std::vector<VMId> Membership::liveHallMembers() const
 {
     std::vector<VMId> result;
     for (auto const& [id, member] : m_members) {
@@ -90,11 +90,11 @@
     return result;
 }
 
-// Goes through all neighbours in a random order, then through a new one, so that
-// each is pinged within a bounded time.
-VMId Membership::nextTarget()
+// Visits all live members of the hall in a random order before it draws a new order,
+// so that each is pinged within a bounded time.
+VMId Membership::nextProbeTarget()
 {
-    if (randomBelow(m_hooks.random, deadPingShare) == 0) {
+    if (randomBelow(m_hooks.random, pingsPerDeadPing) == 0) {
         std::vector<VMId> dead;
         for (auto const& [id, member] : m_members) {
             if (member.update.hall == m_hall && member.update.state == MemberState::Dead)
@@ -104,14 +104,14 @@
             return dead[randomBelow(m_hooks.random, dead.size())];
     }
     while (true) {
-        if (m_round.empty()) {
-            m_round = neighbours();
-            shuffle(m_round, m_hooks.random);
-            if (m_round.empty())
+        if (m_probeOrder.empty()) {
+            m_probeOrder = liveHallMembers();
+            shuffle(m_probeOrder, m_hooks.random);
+            if (m_probeOrder.empty())
                 return {};
         }
-        auto const next = m_round.back();
-        m_round.pop_back();
+        auto const next = m_probeOrder.back();
+        m_probeOrder.pop_back();
         if (stateOf(next) != MemberState::Dead)
             return next;
     }
@@ -123,52 +123,52 @@
     message.kind = kind;
     message.sequence = sequence;
     message.target = target;
-    message.self = ownUpdate();
+    message.sender = ownUpdate();
     message.revision = m_revision;
-    message.hallAges = m_halls.ages(now);
-    message.members = m_updates.takeMembers(size());
-    message.upstreams = m_updates.takeUpstreams(size());
-    // Who is wrongly taken for suspect or dead has to learn it to refute it.
+    message.hallAges = m_hallReachability.ages(now);
+    message.members = m_updateQueue.takeMembers(size());
+    message.upstreams = m_updateQueue.takeUpstreams(size());
+    // The receiver can refute a suspicion or its death only when it learns of it.
     if (auto const found = m_members.find(to); found != m_members.end() && found->second.update.state != MemberState::Alive)
         message.members.push_back(found->second.update);
     m_hooks.send(to, message.encode());
 }
 
-void Membership::startPeriod(Instant now)
+void Membership::startProbe(Instant now)
 {
-    if (!m_probe.isAnswered)
+    if (!m_probe.isAcknowledged)
         suspect(m_probe.target, now);
-    m_periodStart = now;
-    auto const target = nextTarget();
+    m_probeStartedAt = now;
+    auto const target = nextProbeTarget();
     if (target.isNull())
         return;
     m_probe = { target, ++m_sequence, now, false, false };
     send(target, MembershipMessage::Kind::Ping, m_probe.sequence, target, now);
 }
 
-void Membership::askOthers(Instant now)
+void Membership::sendPingRequests(Instant now)
 {
-    m_probe.askedOthers = true;
-    auto others = neighbours();
+    m_probe.sentPingRequests = true;
+    auto others = liveHallMembers();
     std::erase(others, m_probe.target);
     shuffle(others, m_hooks.random);
-    others.resize(std::min(others.size(), indirectProbes));
+    others.resize(std::min(others.size(), maxPingRequests));
     for (auto const other : others)
         send(other, MembershipMessage::Kind::PingRequest, m_probe.sequence, m_probe.target, now);
 }
 
-// The representatives are the daemons of the hall with the lowest ids; when one
-// dies, the next takes its place, and for a while there may be one more or fewer.
+// The representatives of a hall are its live daemons with the lowest ids. While
+// daemons disagree on who is alive, there may be one more or one fewer.
 bool Membership::isRepresentative() const
 {
-    auto const all = neighbours();
+    auto const all = liveHallMembers();
     auto const before = std::count_if(all.begin(), all.end(), [&](VMId id) { return id < m_self; });
-    return static_cast<size_t>(before) < representatives;
+    return static_cast<size_t>(before) < representativesPerHall;
 }
 
-void Membership::pingHalls(Instant now)
+void Membership::probeOtherHalls(Instant now)
 {
-    m_hallPeriodStart = now;
+    m_hallProbeStartedAt = now;
     if (!isRepresentative())
         return;
     std::map<HallId, std::vector<VMId>> others;
@@ -186,15 +186,15 @@
 
 void Membership::tick(Instant now)
 {
-    if (now - m_periodStart >= period)
-        startPeriod(now);
-    else if (!m_probe.isAnswered && !m_probe.askedOthers && now - m_probe.sentAt >= answerTime)
-        askOthers(now);
-    if (now - m_hallPeriodStart >= hallPeriod)
-        pingHalls(now);
-    buryTheDead(now);
-    std::erase_if(m_relays, [&](auto const& relay) { return now - relay.second.at > relayPatience; });
-    if (!m_halls.changes(now).empty())
+    if (now - m_probeStartedAt >= probeInterval)
+        startProbe(now);
+    else if (!m_probe.isAcknowledged && !m_probe.sentPingRequests && now - m_probe.sentAt >= ackTimeout)
+        sendPingRequests(now);
+    if (now - m_hallProbeStartedAt >= hallProbeInterval)
+        probeOtherHalls(now);
+    expireSuspicions(now);
+    std::erase_if(m_forwardedPings, [&](auto const& forwarded) { return now - forwarded.second.at > forwardedPingTimeout; });
+    if (!m_hallReachability.takeChanges(now).empty())
         m_hooks.changed();
 }
 
@@ -208,19 +208,19 @@
     member.suspectedAt = now;
     if (member.update.state == MemberState::Alive) {
         member.update.state = MemberState::Suspect;
-        m_updates.push(member.update);
+        m_updateQueue.push(member.update);
     }
 }
 
-void Membership::buryTheDead(Instant now)
+void Membership::expireSuspicions(Instant now)
 {
     bool changed = false;
     for (auto& [id, member] : m_members) {
-        if (!member.isSuspected || now - member.suspectedAt < suspicionTime)
+        if (!member.isSuspected || now - member.suspectedAt < suspicionTimeout)
             continue;
         member.isSuspected = false;
         member.update.state = MemberState::Dead;
-        m_updates.push(member.update);
+        m_updateQueue.push(member.update);
         changed = true;
     }
     if (changed)
@@ -242,18 +242,18 @@
     member.isSuspected = update.state == MemberState::Suspect;
     if (member.isSuspected)
         member.suspectedAt = now;
-    m_updates.push(update);
-    auto const countsAsThere = [](MemberState state) { return state == MemberState::Suspect ? MemberState::Alive : state; };
-    return isNew || countsAsThere(before) != countsAsThere(update.state);
+    m_updateQueue.push(update);
+    auto const withoutSuspicion = [](MemberState state) { return state == MemberState::Suspect ? MemberState::Alive : state; };
+    return isNew || withoutSuspicion(before) != withoutSuspicion(update.state);
 }
 
 void Membership::refuteIfNeeded(MemberUpdate const& update)
 {
-    bool const isWrong = update.state == MemberState::Suspect || update.state == MemberState::Dead || (update.state == MemberState::Leaving && !m_isLeaving);
-    if (update.incarnation != m_incarnation || update.version < m_version || !isWrong)
+    bool const needsRefutation = update.state == MemberState::Suspect || update.state == MemberState::Dead || (update.state == MemberState::Leaving && !m_isLeaving);
+    if (update.incarnation != m_incarnation || update.version < m_version || !needsRefutation)
         return;
     m_version = update.version + 1;
-    m_updates.push(ownUpdate());
+    m_updateQueue.push(ownUpdate());
 }
 
 bool Membership::apply(UpstreamUpdate const& update)
@@ -262,7 +262,7 @@
     if (!isNew && update.listVersion <= found->second.listVersion)
         return false;
     found->second = update;
-    m_updates.push(update);
+    m_updateQueue.push(update);
     return true;
 }
 
@@ -271,17 +271,17 @@
     auto const message = MembershipMessage::decode(bytes);
     if (!message)
         return message.error();
-    if (message->self.member != from)
-        return Error(ErrorCode::Malformed, "a daemon speaks for another");
-    bool changed = apply(message->self, now);
+    if (message->sender.member != from)
+        return Error(ErrorCode::Malformed, "a membership message's sender is not the daemon that it came from");
+    bool changed = apply(message->sender, now);
     for (auto const& update : message->members)
         changed |= apply(update, now);
     for (auto const& update : message->upstreams)
         changed |= apply(update);
-    m_halls.add(message->self.hall, now);
-    m_halls.heard(message->self.hall, now);
+    m_hallReachability.add(message->sender.hall, now);
+    m_hallReachability.recordContact(message->sender.hall, now);
     for (auto const& [hall, age] : message->hallAges)
-        m_halls.heard(hall, now - age);
+        m_hallReachability.recordContact(hall, now - age);
     if (changed)
         m_hooks.changed();
     m_hooks.revisionSeen(from, message->revision);
@@ -289,25 +289,26 @@
     if (message->kind == MembershipMessage::Kind::Ping) {
         send(from, MembershipMessage::Kind::Acknowledgement, message->sequence, from, now);
     } else if (message->kind == MembershipMessage::Kind::Acknowledgement) {
-        answered(from, message->sequence, now);
+        handleAcknowledgement(from, message->sequence, now);
     } else {
-        m_relays[++m_sequence] = { from, message->sequence, now };
+        m_forwardedPings[++m_sequence] = { from, message->sequence, now };
         send(message->target, MembershipMessage::Kind::Ping, m_sequence, message->target, now);
     }
     return {};
 }
 
-void Membership::answered(VMId from, uint64_t sequence, Instant now)
+void Membership::handleAcknowledgement(VMId from, uint64_t sequence, Instant now)
 {
-    if (auto const relay = m_relays.find(sequence); relay != m_relays.end()) {
-        auto const [requester, original, at] = relay->second;
-        m_relays.erase(relay);
+    if (auto const forwarded = m_forwardedPings.find(sequence); forwarded != m_forwardedPings.end()) {
+        auto const [requester, original, at] = forwarded->second;
+        m_forwardedPings.erase(forwarded);
         send(requester, MembershipMessage::Kind::Acknowledgement, original, from, now);
         return;
     }
     if (sequence == m_probe.sequence)
-        m_probe.isAnswered = true;
-    // An answer lifts this daemon's own suspicion; that of others only the member can.
+        m_probe.isAcknowledged = true;
+    // A leaving daemon is never marked Suspect, so an acknowledgement is enough to clear
+    // its suspicion here. A Suspect daemon has to refute the suspicion itself.
     if (auto const found = m_members.find(from); found != m_members.end() && found->second.update.state == MemberState::Leaving)
         found->second.isSuspected = false;
 }
--- a/Libraries/LibMembership/Membership.h
+++ b/Libraries/LibMembership/Membership.h
@@ -3,7 +3,7 @@
 #include <LibBase/Hooks.h>
 #include <LibBase/Ids.h>
 #include <LibBase/Result.h>
-#include <LibMembership/HallReach.h>
+#include <LibMembership/HallReachability.h>
 #include <LibMembership/MemberState.h>
 #include <LibMembership/MembershipMessage.h>
 #include <LibMembership/UpdateQueue.h>
@@ -14,26 +14,27 @@
 
 namespace Stagepost {
 
-// Which daemons are there. Within a hall each daemon pings one other a period,
-// asks others to ping it when it does not answer, suspects it, and takes it for
-// dead when it does not refute that; news rides along on these messages (the
-// SWIM protocol). So the messages that a daemon sends do not grow with the fleet.
-// Between halls, two representatives of each ping a daemon of every other hall.
+// Detects which daemons are alive, with the SWIM protocol. In each interval a daemon
+// pings one other daemon of its hall. If that does not acknowledge, the daemon asks
+// others to ping it, then suspects it, and declares it dead when it does not refute
+// the suspicion in time. Updates are piggybacked on these messages, so the number of
+// messages that a daemon sends does not grow with the fleet. Between halls, two
+// representatives of each hall ping a daemon of every other hall.
 class Membership {
 public:
     static constexpr Microseconds tickInterval { 50000 };
-    static constexpr Microseconds period { 500000 };
-    // For an answer to a ping, before others are asked to try.
-    static constexpr Microseconds answerTime { 200000 };
-    static constexpr Microseconds suspicionTime { 1500000 };
-    static constexpr Microseconds hallPeriod { 1000000 };
+    static constexpr Microseconds probeInterval { 500000 };
+    // How long to wait for an acknowledgement before others are asked to ping.
+    static constexpr Microseconds ackTimeout { 200000 };
+    static constexpr Microseconds suspicionTimeout { 1500000 };
+    static constexpr Microseconds hallProbeInterval { 1000000 };
 
     struct Hooks {
         std::function<void(VMId to, std::string bytes)> send;
         RandomHook random;
-        // Something changed in who is there or can be reached.
+        // A member's state or a hall's reachability has changed.
         std::function<void()> changed;
-        // A daemon serves from this revision of the settings.
+        // A daemon has reported the revision of the settings that it uses.
         std::function<void(VMId, Revision)> revisionSeen;
     };
 
@@ -41,13 +42,15 @@
     Membership(Membership const&) = delete;
     Membership& operator=(Membership const&) = delete;
 
-    // A daemon that the platform lists; it is taken for alive until it does not answer.
-    void addListed(VMId, HallId, Instant now);
-    void removeListed(VMId);
-    // News of an upstream, from the platform's list.
-    void addUpstreamNews(UpstreamUpdate const&);
+    // Adds a daemon from the platform's list. It counts as alive until it fails to
+    // acknowledge pings.
+    void addMember(VMId, HallId, Instant now);
+    void removeMember(VMId);
+    // Adds the state of an upstream in the platform's list. Ignored unless its list
+    // version is newer than the known one.
+    void addUpstreamUpdate(UpstreamUpdate const&);
 
-    // Says that this daemon is about to stop, or that it is not any more.
+    // Announces that this daemon is about to stop, or withdraws the announcement.
     void setLeaving(bool);
     void setRevision(Revision revision) { m_revision = revision; }
 
@@ -55,11 +58,11 @@
     Result<void> receive(VMId from, std::string_view bytes, Instant now);
     void tick(Instant now);
 
-    // Dead for daemons that are not known.
+    // Dead for unknown daemons.
     MemberState stateOf(VMId) const;
-    bool isHallReachable(HallId hall, Instant now) const { return m_halls.isReachable(hall, now); }
-    // None where nothing was heard of the upstream but what the platform lists.
-    UpstreamUpdate const* upstreamNews(UpstreamId) const;
+    bool isHallReachable(HallId hall, Instant now) const { return m_hallReachability.isReachable(hall, now); }
+    // The newest update of the upstream, or null if there was none.
+    UpstreamUpdate const* lastUpstreamUpdate(UpstreamId) const;
 
     size_t size() const { return m_members.size() + 1; }
 
@@ -73,30 +76,30 @@
         VMId target;
         uint64_t sequence { 0 };
         Instant sentAt;
-        bool askedOthers { false };
-        bool isAnswered { true };
+        bool sentPingRequests { false };
+        bool isAcknowledged { true };
     };
-    // Whom to answer when a ping that was made for somebody else is answered.
-    struct Relay {
+    // A ping sent on behalf of another daemon, which gets the acknowledgement.
+    struct ForwardedPing {
         VMId requester;
         uint64_t sequence { 0 };
         Instant at;
     };
 
-    void startPeriod(Instant now);
-    void askOthers(Instant now);
-    void pingHalls(Instant now);
+    void startProbe(Instant now);
+    void sendPingRequests(Instant now);
+    void probeOtherHalls(Instant now);
     bool isRepresentative() const;
-    std::vector<VMId> neighbours() const;
-    VMId nextTarget();
+    std::vector<VMId> liveHallMembers() const;
+    VMId nextProbeTarget();
 
     void send(VMId to, MembershipMessage::Kind, uint64_t sequence, VMId target, Instant now);
-    void answered(VMId, uint64_t sequence, Instant now);
+    void handleAcknowledgement(VMId, uint64_t sequence, Instant now);
     bool apply(MemberUpdate const&, Instant now);
     bool apply(UpstreamUpdate const&);
     void refuteIfNeeded(MemberUpdate const&);
     void suspect(VMId, Instant now);
-    void buryTheDead(Instant now);
+    void expireSuspicions(Instant now);
     MemberUpdate ownUpdate() const;
 
     VMId m_self;
@@ -108,14 +111,14 @@
     Revision m_revision;
     std::map<VMId, Member> m_members;
     std::map<UpstreamId, UpstreamUpdate> m_upstreams;
-    HallReach m_halls;
-    UpdateQueue m_updates;
+    HallReachability m_hallReachability;
+    UpdateQueue m_updateQueue;
     Probe m_probe;
-    std::map<uint64_t, Relay> m_relays;
+    std::map<uint64_t, ForwardedPing> m_forwardedPings;
     uint64_t m_sequence { 0 };
-    std::vector<VMId> m_round;
-    Instant m_periodStart;
-    Instant m_hallPeriodStart;
+    std::vector<VMId> m_probeOrder;
+    Instant m_probeStartedAt;
+    Instant m_hallProbeStartedAt;
 };
 
 }
--- a/Libraries/LibMembership/MembershipMessage.cpp
+++ b/Libraries/LibMembership/MembershipMessage.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    // Ages travel in tenths of a second, which is as exact as they need to be.
+    // Ages of halls are sent in tenths of a second; no more precision is needed.
     constexpr Microseconds ageUnit { 100000 };
 
     void write(MessageWriter& writer, MemberUpdate const& update)
@@ -58,7 +58,7 @@
     writer.number(static_cast<uint64_t>(kind));
     writer.number(sequence);
     writer.id(target);
-    write(writer, self);
+    write(writer, sender);
     writer.id(revision);
     writer.number(hallAges.size());
     for (auto const& [hall, age] : hallAges) {
@@ -79,7 +79,7 @@
 
 Result<MembershipMessage> MembershipMessage::decode(std::string_view bytes)
 {
-    auto const malformed = Error(ErrorCode::Malformed, "a membership message is not understood");
+    auto const malformed = Error(ErrorCode::Malformed, "invalid membership message");
     MessageReader reader(bytes);
     MembershipMessage message;
     auto const kind = reader.number();
@@ -88,7 +88,7 @@
     message.kind = static_cast<Kind>(kind);
     message.sequence = reader.number();
     message.target = reader.id<VMId>();
-    if (!readMember(reader, message.self))
+    if (!readMember(reader, message.sender))
         return malformed;
     message.revision = reader.id<Revision>();
     auto const readAge = [](MessageReader& from, std::pair<HallId, Microseconds>& entry) {
--- a/Libraries/LibMembership/MembershipMessage.h
+++ b/Libraries/LibMembership/MembershipMessage.h
@@ -11,24 +11,24 @@
 
 namespace Stagepost {
 
-// What daemons say to each other to know who is there.
+// A message of the failure detector (SWIM) with the updates that it carries.
 struct MembershipMessage {
     enum class Kind : uint8_t {
         Ping,
         Acknowledgement,
-        // Asks a third daemon to ping the target.
+        // Asks the receiver to ping the target and to forward its acknowledgement.
         PingRequest,
     };
 
     Kind kind { Kind::Ping };
     uint64_t sequence { 0 };
-    // For PingRequest: who is to be pinged.
+    // In a PingRequest, the daemon to ping.
     VMId target;
-    // The sender's own news of itself.
-    MemberUpdate self;
-    // The revision of the settings that the sender serves from.
+    // The sender's own state.
+    MemberUpdate sender;
+    // The revision of the settings that the sender uses.
     Revision revision;
-    // How long ago the sender's hall last heard of each other hall.
+    // The time since the sender's hall last heard from each other hall that it can reach.
     std::vector<std::pair<HallId, Microseconds>> hallAges;
     std::vector<MemberUpdate> members;
     std::vector<UpstreamUpdate> upstreams;
--- a/Libraries/LibMembership/UpdateQueue.cpp
+++ b/Libraries/LibMembership/UpdateQueue.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-    constexpr size_t repeatsPerDoubling = 3;
+    // The number of transmissions per bit of the fleet's size.
+    constexpr size_t retransmitMultiplier = 3;
 
-    size_t repeatsFor(size_t fleetSize)
+    size_t transmissionLimit(size_t fleetSize)
     {
-        return repeatsPerDoubling * std::max<size_t>(2, std::bit_width(fleetSize));
+        return retransmitMultiplier * std::max<size_t>(2, std::bit_width(fleetSize));
     }
 
 }
@@ -25,13 +26,13 @@
     std::vector<typename std::map<Key, Entry<Update>>::iterator> order;
     for (auto entry = entries.begin(); entry != entries.end(); ++entry)
         order.push_back(entry);
-    auto const count = std::min(order.size(), mostPerMessage);
+    auto const count = std::min(order.size(), maxUpdatesPerMessage);
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count), order.end(),
-        [](auto const& a, auto const& b) { return a->second.sent < b->second.sent; });
+        [](auto const& a, auto const& b) { return a->second.transmissions < b->second.transmissions; });
     order.resize(count);
     for (auto const& entry : order) {
         taken.push_back(entry->second.update);
-        if (++entry->second.sent >= repeatsFor(fleetSize))
+        if (++entry->second.transmissions >= transmissionLimit(fleetSize))
             entries.erase(entry);
     }
     return taken;
--- a/Libraries/LibMembership/UpdateQueue.h
+++ b/Libraries/LibMembership/UpdateQueue.h
@@ -8,16 +8,19 @@
 
 namespace Stagepost {
 
-// News that rides along on messages that are sent anyway. Each is repeated a
-// number of times that grows with the logarithm of the fleet, which reaches
-// everybody with high probability; what was repeated least goes first.
+// Updates that are piggybacked on outgoing messages. Each one is sent a number of
+// times that grows with the logarithm of the fleet's size, so that it reaches every
+// daemon with high probability. The updates sent least often go first.
 class UpdateQueue {
 public:
-    static constexpr size_t mostPerMessage = 6;
+    static constexpr size_t maxUpdatesPerMessage = 6;
 
+    // Replaces an older update of the same member or upstream.
     void push(MemberUpdate const& update) { m_members[update.member] = { update, 0 }; }
     void push(UpstreamUpdate const& update) { m_upstreams[update.upstream] = { update, 0 }; }
 
+    // Returns up to maxUpdatesPerMessage updates for one message, and drops those that
+    // have now been sent often enough for a fleet of this size.
     std::vector<MemberUpdate> takeMembers(size_t fleetSize) { return take(m_members, fleetSize); }
     std::vector<UpstreamUpdate> takeUpstreams(size_t fleetSize) { return take(m_upstreams, fleetSize); }
 
@@ -27,7 +30,7 @@
     template <typename Update>
     struct Entry {
         Update update;
-        size_t sent { 0 };
+        size_t transmissions { 0 };
     };
     template <typename Key, typename Update>
     std::vector<Update> take(std::map<Key, Entry<Update>>&, size_t fleetSize);
