--- a/Libraries/LibMembership/EmptiedHalls.cpp
+++ b/Libraries/LibMembership/EmptiedHalls.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    std::set<std::string> applied(std::set<std::string> halls, std::vector<HallOrder> const& orders)
+    std::set<std::string> applyOrders(std::set<std::string> halls, std::vector<HallOrder> const& orders)
     {
         for (auto const& order : orders) {
             if (order.isEmptied)
@@ -19,17 +19,17 @@
 
 }
 
-// What was told meanwhile is newer than a read that was long on its way.
-bool EmptiedHalls::isOutdated(uint64_t position, Instant readSentAt)
+// Returns false if another daemon has sent a newer state while the read was under way.
+bool EmptiedHalls::advancePosition(uint64_t position, Instant readSentAt)
 {
     m_age.confirm(readSentAt);
     if (position < m_state.position)
-        return true;
+        return false;
     m_state.position = position;
-    return false;
+    return true;
 }
 
-void EmptiedHalls::become(std::set<std::string> halls)
+void EmptiedHalls::setHalls(std::set<std::string> halls)
 {
     auto const before = std::exchange(m_state.halls, std::move(halls));
     for (auto const& hall : before) {
@@ -44,57 +44,58 @@
 
 void EmptiedHalls::apply(std::vector<HallOrder> const& orders, uint64_t position, Instant readSentAt)
 {
-    if (isOutdated(position, readSentAt))
+    if (!advancePosition(position, readSentAt))
         return;
     for (auto const& order : orders)
-        m_lost.erase(order.hall);
-    become(applied(m_state.halls, orders));
+        m_missing.erase(order.hall);
+    setHalls(applyOrders(m_state.halls, orders));
 }
 
 void EmptiedHalls::replace(std::vector<HallOrder> const& orders, uint64_t position, Instant readSentAt)
 {
-    if (isOutdated(position, readSentAt))
+    if (!advancePosition(position, readSentAt))
         return;
-    auto halls = applied({}, orders);
+    auto halls = applyOrders({}, orders);
     for (auto const& hall : halls)
-        m_lost.erase(hall);
-    for (auto const& [hall, until] : m_lost)
+        m_missing.erase(hall);
+    for (auto const& [hall, until] : m_missing)
         halls.insert(hall);
-    become(std::move(halls));
+    setHalls(std::move(halls));
 }
 
-void EmptiedHalls::replaceAfterReturn(std::vector<HallOrder> const& orders, uint64_t position, Instant readSentAt)
+void EmptiedHalls::replaceAfterRestore(std::vector<HallOrder> const& orders, uint64_t position, Instant readSentAt)
 {
     for (auto const& hall : m_state.halls)
-        m_lost.try_emplace(hall, readSentAt + m_bounds.returnGrace);
+        m_missing.try_emplace(hall, readSentAt + m_bounds.returnGrace);
     replace(orders, position, readSentAt);
 }
 
-// At one position two daemons differ only while one of them holds what the store has lost.
-void EmptiedHalls::takeTold(EmptiedHallsState const& told, std::optional<Instant> provenAt)
+// At the same position, two daemons differ only while one of them still keeps orders that
+// are missing from the store.
+void EmptiedHalls::applyPeerState(EmptiedHallsState const& peer, std::optional<Instant> provenAt)
 {
-    bool const isSamePlace = told.position == m_state.position;
-    bool const isNewerProof = provenAt && (!m_age.isKnown() || *provenAt > *m_age.provenAt());
+    bool const isSamePosition = peer.position == m_state.position;
+    bool const isNewer = provenAt && (!m_age.isKnown() || *provenAt > *m_age.provenAt());
     if (provenAt)
         m_age.confirm(*provenAt);
-    if (told.position < m_state.position || (isSamePlace && !isNewerProof))
+    if (peer.position < m_state.position || (isSamePosition && !isNewer))
         return;
-    m_state.position = told.position;
-    m_lost.clear();
-    become(told.halls);
+    m_state.position = peer.position;
+    m_missing.clear();
+    setHalls(peer.halls);
 }
 
 void EmptiedHalls::tick(Instant now)
 {
     auto halls = m_state.halls;
-    std::erase_if(m_lost, [&](auto const& lost) {
-        if (now < lost.second)
+    std::erase_if(m_missing, [&](auto const& missing) {
+        if (now < missing.second)
             return false;
-        halls.erase(lost.first);
+        halls.erase(missing.first);
         return true;
     });
     if (halls != m_state.halls)
-        become(std::move(halls));
+        setHalls(std::move(halls));
 }
 
 }
--- a/Libraries/LibMembership/EmptiedHalls.h
+++ b/Libraries/LibMembership/EmptiedHalls.h
@@ -11,34 +11,34 @@
 
 namespace Stagepost {
 
-// An operator wants a hall emptied, or takes that back.
+// An operator's order to empty a hall, or its withdrawal.
 struct HallOrder {
     std::string hall;
     bool isEmptied { false };
 };
 
-// Which halls operators empty, as one daemon tells another: always all of them, since
-// there are only a few halls.
+// The halls that operators have ordered to be emptied, as sent between daemons. Always
+// complete, since there are only a few halls.
 struct EmptiedHallsState {
-    // Up to where the platform's orders are known; rises with whatever is written beside
-    // them as well.
+    // The position in the platform's store up to which orders were read. Unrelated writes
+    // advance it as well.
     uint64_t position { 0 };
     std::set<std::string> halls;
 
     bool operator==(EmptiedHallsState const&) const = default;
 };
 
-// The halls whose upstreams are to get nothing further until the order is taken back.
-// What is known is ordered by the position up to which it was read, whoever tells it
-// and when.
+// The halls whose upstreams get no further requests until the order is withdrawn. States
+// are ordered by the store position that they were read at, regardless of which daemon
+// sends them and when.
 class EmptiedHalls {
 public:
     struct Bounds {
-        // How long after the return of a store that has lost its last seconds an order
-        // that is missing may still be written again.
+        // After the store was restored from a copy that lacks its last seconds, how long a
+        // missing order stays in force, so that it can be written again.
         Microseconds returnGrace { 2000000 };
     };
-    // Called for each hall whose order is new or taken back.
+    // Called for each hall that is newly ordered to be emptied, or no longer.
     using Changed = std::function<void(HallOrder const&)>;
 
     EmptiedHalls(Bounds bounds, Changed changed)
@@ -47,18 +47,19 @@
     {
     }
 
-    // What a read added, in its order, up to that position.
+    // Applies the orders that a read has added, oldest first, up to this position.
     void apply(std::vector<HallOrder> const&, uint64_t position, Instant readSentAt);
-    // All orders that there are.
+    // Replaces all orders by those of a complete read.
     void replace(std::vector<HallOrder> const&, uint64_t position, Instant readSentAt);
-    // The same from a store that has come back from a copy: an order that it lacks holds
-    // until it has had the time to be written again.
-    void replaceAfterReturn(std::vector<HallOrder> const&, uint64_t position, Instant readSentAt);
-    // What another daemon knows, proven as of the time or not at all.
-    void takeTold(EmptiedHallsState const&, std::optional<Instant> provenAt);
-    // What is known is right as of then.
+    // Like replace(), after the store was restored from a copy: an order that is missing
+    // there stays in force for Bounds::returnGrace, so that it can be written again.
+    void replaceAfterRestore(std::vector<HallOrder> const&, uint64_t position, Instant readSentAt);
+    // Applies the state of another daemon, which was valid at the given time if there is
+    // one. Ignored if its position is older, or is the same without a newer time.
+    void applyPeerState(EmptiedHallsState const&, std::optional<Instant> provenAt);
+    // Records that the state was valid at this time.
     void confirm(Instant provenAt) { m_age.confirm(provenAt); }
-    // Lets orders go that were lost and not written again.
+    // Drops orders that are missing from the store and were not written again in time.
     void tick(Instant now);
 
     bool contains(std::string const& hall) const { return m_state.halls.contains(hall); }
@@ -66,15 +67,15 @@
     ProvenAge const& age() const { return m_age; }
 
 private:
-    bool isOutdated(uint64_t position, Instant readSentAt);
-    void become(std::set<std::string> halls);
+    bool advancePosition(uint64_t position, Instant readSentAt);
+    void setHalls(std::set<std::string> halls);
 
     Bounds m_bounds;
     Changed m_changed;
     EmptiedHallsState m_state;
     ProvenAge m_age;
-    // Orders that the store has lost, until when they hold without it.
-    std::map<std::string, Instant> m_lost;
+    // Orders that are missing from the restored store, and when they expire.
+    std::map<std::string, Instant> m_missing;
 };
 
 }
--- a/Libraries/LibMembership/RegistryHistory.h
+++ b/Libraries/LibMembership/RegistryHistory.h
@@ -8,36 +8,36 @@
 
 namespace Stagepost {
 
-// How a daemon is registered, in the registry's own words.
+// A daemon's entry in the registry, as it is stored.
 struct RegistryRecord {
     std::string name;
-    // None where the daemon is not registered any more.
+    // None if the daemon is no longer registered.
     std::optional<std::string> text;
 
     bool operator==(RegistryRecord const&) const = default;
 };
 
-// The last changes of the registry of daemons, each with the version that it led to,
-// so that one daemon that reads the registry can tell others what they lack. If all
-// read it themselves, each daemon that comes or goes costs as many calls as there are
-// daemons.
+// The latest changes of the registry of daemons, each with the version that it produced.
+// A daemon that reads the registry forwards them to others. If all daemons read the
+// registry themselves, each daemon that joins or leaves would cost one call per daemon.
 class RegistryHistory {
 public:
-    // All was read anew as of that version; nothing is known of before.
-    void restart(uint64_t version);
+    // Discards the history after the whole registry was read at this version.
+    void reset(uint64_t version);
     void add(std::vector<RegistryRecord> const&, uint64_t version);
 
     uint64_t version() const { return m_version; }
 
-    // What has changed since that version, the newest of each daemon; none where that
-    // is too long ago, too much for a message, or has never been known.
-    std::optional<std::vector<RegistryRecord>> since(uint64_t version) const;
+    // Returns the latest record of each daemon that changed after this version. None if
+    // the version is unknown or too old, or if the records don't fit into a message.
+    std::optional<std::vector<RegistryRecord>> changesSince(uint64_t version) const;
 
 private:
-    // A rolling restart changes a record a second or two, and others ask every second.
-    static constexpr size_t longest = 128;
-    // A message of so many is a kilobyte and a half, which is one datagram.
-    static constexpr size_t mostTold = 14;
+    // A rolling restart changes one record every second or two, and other daemons ask
+    // for changes every second.
+    static constexpr size_t maxChanges = 128;
+    // This many records take 1.5 kB, which fits into one datagram.
+    static constexpr size_t maxRecordsPerMessage = 14;
 
     struct Change {
         RegistryRecord record;
@@ -45,8 +45,8 @@
     };
 
     uint64_t m_version { 0 };
-    // Changes since this version are known.
-    uint64_t m_oldest { 0 };
+    // The history holds all changes after this version.
+    uint64_t m_baseVersion { 0 };
     std::deque<Change> m_changes;
 };
 
--- a/Tests/LibMembership/TestEmptiedHalls.cpp
+++ b/Tests/LibMembership/TestEmptiedHalls.cpp
@@ -11,7 +11,7 @@
     return Instant(Microseconds(static_cast<int64_t>(seconds * 1e6)));
 }
 
-struct World {
+struct Fixture {
     std::vector<std::string> changes;
     EmptiedHalls halls { {}, [this](HallOrder const& order) { changes.push_back((order.isEmptied ? "+" : "-") + order.hall); } };
 
@@ -24,94 +24,95 @@
 
 BOOST_AUTO_TEST_SUITE(EmptiedHallsTests)
 
-BOOST_AUTO_TEST_CASE(AnOrderHoldsUntilItIsTakenBack)
+BOOST_AUTO_TEST_CASE(AnOrderStaysInForceUntilItIsWithdrawn)
 {
-    World world;
-    world.halls.replace({ { "north", true } }, 5, at(1));
-    BOOST_TEST((world.takeChanges() == Changes { "+north" }));
-    world.halls.apply({}, 6, at(2));
-    BOOST_TEST(world.halls.contains("north"));
-    world.halls.apply({ { "south", true }, { "north", false } }, 8, at(3));
-    BOOST_TEST((world.takeChanges() == Changes { "-north", "+south" }));
-    BOOST_TEST((*world.halls.age().provenAt() == at(3)));
+    Fixture fixture;
+    fixture.halls.replace({ { "north", true } }, 5, at(1));
+    BOOST_TEST((fixture.takeChanges() == Changes { "+north" }));
+    fixture.halls.apply({}, 6, at(2));
+    BOOST_TEST(fixture.halls.contains("north"));
+    fixture.halls.apply({ { "south", true }, { "north", false } }, 8, at(3));
+    BOOST_TEST((fixture.takeChanges() == Changes { "-north", "+south" }));
+    BOOST_TEST((*fixture.halls.age().provenAt() == at(3)));
 }
 
-// In one read, only the last word counts: nothing flaps in between.
-BOOST_AUTO_TEST_CASE(AnOrderThatIsTakenBackAndGivenAgainInOneReadChangesNothing)
+// Only the last order of a read counts: no intermediate change is reported.
+BOOST_AUTO_TEST_CASE(AnOrderWithdrawnAndRepeatedInOneReadChangesNothing)
 {
-    World world;
-    world.halls.replace({ { "north", true } }, 5, at(1));
-    world.takeChanges();
-    world.halls.apply({ { "north", false }, { "north", true } }, 7, at(2));
-    BOOST_TEST(world.takeChanges().empty());
-    BOOST_TEST(world.halls.contains("north"));
+    Fixture fixture;
+    fixture.halls.replace({ { "north", true } }, 5, at(1));
+    fixture.takeChanges();
+    fixture.halls.apply({ { "north", false }, { "north", true } }, 7, at(2));
+    BOOST_TEST(fixture.takeChanges().empty());
+    BOOST_TEST(fixture.halls.contains("north"));
 }
 
-// A whole list names what is, not what was taken back.
-BOOST_AUTO_TEST_CASE(WhatAWholeListLacksIsTakenBack)
+// A complete read contains only current orders, no withdrawals.
+BOOST_AUTO_TEST_CASE(AnOrderMissingFromACompleteReadIsWithdrawn)
 {
-    World world;
-    world.halls.replace({ { "north", true }, { "south", true } }, 5, at(1));
-    world.takeChanges();
-    world.halls.replace({ { "south", true } }, 9, at(2));
-    BOOST_TEST((world.takeChanges() == Changes { "-north" }));
+    Fixture fixture;
+    fixture.halls.replace({ { "north", true }, { "south", true } }, 5, at(1));
+    fixture.takeChanges();
+    fixture.halls.replace({ { "south", true } }, 9, at(2));
+    BOOST_TEST((fixture.takeChanges() == Changes { "-north" }));
 }
 
-BOOST_AUTO_TEST_CASE(WhatIsLateOnItsWayTakesNothingBack)
+BOOST_AUTO_TEST_CASE(AnOlderPositionWithdrawsNothing)
 {
-    World world;
-    world.halls.replace({ { "north", true } }, 9, at(4));
-    world.takeChanges();
-    world.halls.replace({}, 5, at(3));
-    world.halls.apply({ { "north", false } }, 8, at(3));
-    world.halls.takeTold({ 7, {} }, at(5));
-    BOOST_TEST(world.takeChanges().empty());
-    BOOST_TEST(world.halls.contains("north"));
+    Fixture fixture;
+    fixture.halls.replace({ { "north", true } }, 9, at(4));
+    fixture.takeChanges();
+    fixture.halls.replace({}, 5, at(3));
+    fixture.halls.apply({ { "north", false } }, 8, at(3));
+    fixture.halls.applyPeerState({ 7, {} }, at(5));
+    BOOST_TEST(fixture.takeChanges().empty());
+    BOOST_TEST(fixture.halls.contains("north"));
 }
 
-BOOST_AUTO_TEST_CASE(WhatOthersTellIsTakenByItsPlace)
+BOOST_AUTO_TEST_CASE(PeerStatesAreOrderedByPosition)
 {
-    World world;
-    world.halls.takeTold({ 9, { "north" } }, {});
-    BOOST_TEST((world.takeChanges() == Changes { "+north" }));
-    BOOST_TEST(!world.halls.age().isKnown());
-    world.halls.takeTold({ 10, {} }, at(2));
-    BOOST_TEST((world.takeChanges() == Changes { "-north" }));
+    Fixture fixture;
+    fixture.halls.applyPeerState({ 9, { "north" } }, {});
+    BOOST_TEST((fixture.takeChanges() == Changes { "+north" }));
+    BOOST_TEST(!fixture.halls.age().isKnown());
+    fixture.halls.applyPeerState({ 10, {} }, at(2));
+    BOOST_TEST((fixture.takeChanges() == Changes { "-north" }));
 }
 
-// The store comes back from a copy that is older than the order. Operators write it again, or
-// it was lost for good.
-BOOST_AUTO_TEST_CASE(AnOrderThatTheStoreHasLostHoldsForAWhile)
+// The store was restored from a copy that is older than two orders. One order is written
+// again in time, the other one is not.
+BOOST_AUTO_TEST_CASE(AnOrderMissingAfterARestoreStaysInForceForTheGracePeriod)
 {
-    World world;
-    world.halls.replace({ { "north", true }, { "south", true } }, 9, at(1));
-    world.takeChanges();
-    world.halls.replaceAfterReturn({}, 100, at(10));
-    world.halls.replace({}, 101, at(10.5));
-    BOOST_TEST(world.takeChanges().empty());
-    world.halls.apply({ { "south", true } }, 102, at(11));
-    world.halls.tick(at(11.9));
-    BOOST_TEST(world.takeChanges().empty());
-    world.halls.tick(at(12.1));
-    BOOST_TEST((world.takeChanges() == Changes { "-north" }));
-    BOOST_TEST(world.halls.contains("south"));
+    Fixture fixture;
+    fixture.halls.replace({ { "north", true }, { "south", true } }, 9, at(1));
+    fixture.takeChanges();
+    fixture.halls.replaceAfterRestore({}, 100, at(10));
+    fixture.halls.replace({}, 101, at(10.5));
+    BOOST_TEST(fixture.takeChanges().empty());
+    fixture.halls.apply({ { "south", true } }, 102, at(11));
+    fixture.halls.tick(at(11.9));
+    BOOST_TEST(fixture.takeChanges().empty());
+    fixture.halls.tick(at(12.1));
+    BOOST_TEST((fixture.takeChanges() == Changes { "-north" }));
+    BOOST_TEST(fixture.halls.contains("south"));
 }
 
-// Whoever was told while it held learns that it has gone, at the same place.
-BOOST_AUTO_TEST_CASE(ANewerProofAtTheSamePlaceIsTaken)
+// A daemon that received an order during its grace period learns at the same position that
+// it has expired.
+BOOST_AUTO_TEST_CASE(ANewerConfirmationAtTheSamePositionIsApplied)
 {
-    World world;
-    world.halls.takeTold({ 100, { "north" } }, at(11));
-    world.takeChanges();
-    world.halls.takeTold({ 100, {} }, at(10));
-    BOOST_TEST(world.takeChanges().empty());
-    world.halls.takeTold({ 100, {} }, {});
-    BOOST_TEST(world.takeChanges().empty());
-    world.halls.takeTold({ 100, {} }, at(12.5));
-    BOOST_TEST((world.takeChanges() == Changes { "-north" }));
+    Fixture fixture;
+    fixture.halls.applyPeerState({ 100, { "north" } }, at(11));
+    fixture.takeChanges();
+    fixture.halls.applyPeerState({ 100, {} }, at(10));
+    BOOST_TEST(fixture.takeChanges().empty());
+    fixture.halls.applyPeerState({ 100, {} }, {});
+    BOOST_TEST(fixture.takeChanges().empty());
+    fixture.halls.applyPeerState({ 100, {} }, at(12.5));
+    BOOST_TEST((fixture.takeChanges() == Changes { "-north" }));
 }
 
-BOOST_AUTO_TEST_CASE(AMessageCarriesThemAndOneOfAnEarlierVersionDoesNot)
+BOOST_AUTO_TEST_CASE(MessagesCarryEmptiedHallsUnlessFromAnEarlierVersion)
 {
     StateMessage message { StateMessage::Kind::Answer, 1, 2, { 3, 4, 5 }, {}, {}, {}, {} };
     auto const earlier = StateMessage::decode(message.encode());
--- a/Tests/LibMembership/TestStateExchange.cpp
+++ b/Tests/LibMembership/TestStateExchange.cpp
@@ -121,7 +121,7 @@
         hooks.beliefs.confirmed = [this, &daemon](Instant provenAt) { confirm(daemon, provenAt); };
         hooks.beliefs.changesSince = [](uint64_t) { return std::vector<UpstreamChange> {}; };
         hooks.beliefs.applyChanges = [](auto const&, Instant) {};
-        hooks.beliefs.registrySince = [&daemon](uint64_t version) { return daemon.registry.since(version); };
+        hooks.beliefs.registrySince = [&daemon](uint64_t version) { return daemon.registry.changesSince(version); };
         hooks.beliefs.applyRegistry = [&daemon](auto const& records, uint64_t version) { daemon.registry.add(records, version); };
         hooks.beliefs.upstreamsOf = [this](uint64_t) { return std::make_shared<UpstreamList const>(upstreams); };
         hooks.beliefs.ownInFlight = [&daemon] { return daemon.own; };
