--- a/Libraries/LibMembership/UpstreamDirectory.cpp
+++ b/Libraries/LibMembership/UpstreamDirectory.cpp
@@ -5,31 +5,33 @@
 
 namespace Stagepost {
 
-// The grace counts from the read that found the store back, as far as it can be told: an
-// answer that was long on its way would add its time to it.
+// The grace period counts from when the read was sent, because a slow response would
+// otherwise extend it.
 void UpstreamDirectory::confirm(Instant readSentAt)
 {
     auto const age = m_age.age(readSentAt);
-    m_provenBefore = m_age.provenAt();
-    m_endsOutage = age && *age > m_bounds.outage;
+    m_previousProvenAt = m_age.provenAt();
+    m_endsOutage = age && *age > m_bounds.outageThreshold;
     if (m_endsOutage)
         m_graceUntil = readSentAt + m_bounds.returnGrace;
     m_age.confirm(readSentAt);
 }
 
-// Until when an upstream stays in use whose record is gone now. What went while the store
-// could not be read may have lapsed for that alone, and has all of the grace. What went
-// since has left all the same if it is no lapse, at the earliest when the list was last
-// proven: after the bound on leaving it must get nothing, grace or not.
-Instant UpstreamDirectory::graceOfRemoval() const
+// Returns until when an upstream whose record has just been removed stays in use. A record
+// that was removed during an outage may have expired only because of it, and gets the full
+// grace period. One that was removed since may belong to an upstream that has left, at the
+// earliest when the list was last confirmed: it must get no requests once
+// Bounds::leaveLimit has passed since then, even within the grace period.
+Instant UpstreamDirectory::removalDeadline() const
 {
-    if (m_endsOutage || !m_provenBefore)
+    if (m_endsOutage || !m_previousProvenAt)
         return m_graceUntil;
-    return std::min(m_graceUntil, *m_provenBefore + m_bounds.leave);
+    return std::min(m_graceUntil, *m_previousProvenAt + m_bounds.leaveLimit);
 }
 
-// Whether it is a late word of a process that has been replaced.
-bool UpstreamDirectory::isOfEarlierStart(UpstreamRecord const& record, Instant now)
+// Returns whether the record is of an earlier start than the known one, for example a delayed
+// write of a process that has been replaced, and if so keeps it aside.
+bool UpstreamDirectory::deferIfEarlierStart(UpstreamRecord const& record, Instant now)
 {
     auto const known = m_records.find(record.instance);
     if (known == m_records.end() || record.incarnation >= known->second.incarnation) {
@@ -43,14 +45,14 @@
 
 void UpstreamDirectory::put(UpstreamRecord record, Instant now)
 {
-    if (!isOfEarlierStart(record, now))
-        take(std::move(record));
+    if (!deferIfEarlierStart(record, now))
+        store(std::move(record));
 }
 
-void UpstreamDirectory::take(UpstreamRecord record)
+void UpstreamDirectory::store(UpstreamRecord record)
 {
-    m_lapsed.erase(record.instance);
-    m_lost.erase(record.instance);
+    m_expired.erase(record.instance);
+    m_missing.erase(record.instance);
     auto const instance = record.instance;
     auto const known = m_records.find(instance);
     if (known != m_records.end() && known->second == record)
@@ -62,36 +64,36 @@
     auto const after = record.hash();
     auto const& stored = m_records[instance] = std::move(record);
     if (!idBefore || before != after)
-        noteChange(instance, idBefore, before ^ after);
+        recordChange(instance, idBefore, before ^ after);
     m_changed({ instance, stored });
 }
 
 void UpstreamDirectory::remove(std::string const& instance, Instant now)
 {
     m_earlierStarts.erase(instance);
-    m_lost.erase(instance);
+    m_missing.erase(instance);
     auto const known = m_records.find(instance);
     if (known == m_records.end())
         return;
     auto const before = known->second.hash();
     auto const idBefore = known->second.id();
     m_records.erase(known);
-    noteChange(instance, idBefore, before);
-    auto const until = graceOfRemoval();
+    recordChange(instance, idBefore, before);
+    auto const until = removalDeadline();
     if (now < until)
-        m_lapsed.emplace(instance, until);
+        m_expired.emplace(instance, until);
     else
         m_changed({ instance, {} });
 }
 
-// The hash of all is the sum of each without regard to order, so that a change
-// of one costs nothing but its own.
-void UpstreamDirectory::noteChange(std::string const& instance, std::optional<UpstreamId> idBefore, uint64_t difference)
+// The hash of the list is the XOR of the hashes of its records, so a change of one record
+// updates it without rehashing the others.
+void UpstreamDirectory::recordChange(std::string const& instance, std::optional<UpstreamId> idBefore, uint64_t difference)
 {
     auto const found = m_records.find(instance);
     UpstreamChange change { instance, found == m_records.end() ? std::nullopt : std::optional(found->second) };
     m_history.push_back({ m_hash, idBefore, std::move(change) });
-    if (m_history.size() > longestHistory)
+    if (m_history.size() > maxHistory)
         m_history.pop_front();
     m_hash ^= difference;
 }
@@ -109,22 +111,22 @@
     return changes;
 }
 
-std::shared_ptr<UpstreamList const> UpstreamDirectory::listAt(uint64_t hash) const
+std::shared_ptr<UpstreamList const> UpstreamDirectory::listForHash(uint64_t hash) const
 {
-    auto const ready = std::find_if(m_lists.begin(), m_lists.end(), [hash](auto const& entry) { return entry.first == hash; });
-    if (ready != m_lists.end())
-        return ready->second;
-    auto list = makeList(hash);
+    auto const cached = std::find_if(m_cachedLists.begin(), m_cachedLists.end(), [hash](auto const& entry) { return entry.first == hash; });
+    if (cached != m_cachedLists.end())
+        return cached->second;
+    auto list = reconstructList(hash);
     if (!list)
         return {};
-    m_lists.emplace_back(hash, list);
-    if (m_lists.size() > mostListsReady)
-        m_lists.pop_front();
+    m_cachedLists.emplace_back(hash, list);
+    if (m_cachedLists.size() > maxCachedLists)
+        m_cachedLists.pop_front();
     return list;
 }
 
-// Goes back from the records as they are, change by change.
-std::shared_ptr<UpstreamList const> UpstreamDirectory::makeList(uint64_t hash) const
+// Starts from the current records and undoes the changes in the history one by one.
+std::shared_ptr<UpstreamList const> UpstreamDirectory::reconstructList(uint64_t hash) const
 {
     std::map<std::string_view, UpstreamId> upstreams;
     for (auto const& [instance, record] : m_records)
@@ -146,8 +148,8 @@
     return std::make_shared<UpstreamList const>(std::move(list));
 }
 
-// The result is what is known and not among them.
-std::vector<std::string> UpstreamDirectory::putAll(std::vector<UpstreamRecord> const& list, Instant now)
+// Returns the known instances that the list doesn't contain.
+std::vector<std::string> UpstreamDirectory::putAllAndFindMissing(std::vector<UpstreamRecord> const& list, Instant now)
 {
     m_hasList = true;
     std::set<std::string> listed;
@@ -165,60 +167,61 @@
 
 void UpstreamDirectory::replace(std::vector<UpstreamRecord> const& list, Instant now)
 {
-    for (auto const& instance : putAll(list, now)) {
-        if (!m_lost.contains(instance))
+    for (auto const& instance : putAllAndFindMissing(list, now)) {
+        if (!m_missing.contains(instance))
             remove(instance, now);
     }
 }
 
-// Whether this start of the upstream was known to leave: the copy is from before it said so.
-bool UpstreamDirectory::isLeaving(UpstreamRecord const& record) const
+// Whether this start of the upstream is known to be leaving. The restored copy may be from
+// before it announced that.
+bool UpstreamDirectory::isKnownToLeave(UpstreamRecord const& record) const
 {
     auto const known = m_records.find(record.instance);
     return known != m_records.end() && known->second.id() == record.id() && known->second.isLeaving;
 }
 
-void UpstreamDirectory::replaceAfterReturn(std::vector<UpstreamRecord> const& list, Instant readSentAt, Instant now)
+void UpstreamDirectory::replaceAfterRestore(std::vector<UpstreamRecord> const& list, Instant readSentAt, Instant now)
 {
     auto records = list;
     for (auto& record : records)
-        record.isLeaving = record.isLeaving || isLeaving(record);
-    for (auto const& instance : putAll(records, now))
-        m_lost.emplace(instance, readSentAt + m_bounds.returnGrace);
+        record.isLeaving = record.isLeaving || isKnownToLeave(record);
+    for (auto const& instance : putAllAndFindMissing(records, now))
+        m_missing.emplace(instance, readSentAt + m_bounds.returnGrace);
 }
 
-// What was not written again within its time is gone.
-void UpstreamDirectory::dropLost(Instant now)
+// Removes records that were missing from a restored store and were not written again in time.
+void UpstreamDirectory::removeExpiredMissing(Instant now)
 {
-    std::vector<std::string> over;
-    for (auto const& [instance, until] : m_lost) {
+    std::vector<std::string> expired;
+    for (auto const& [instance, until] : m_missing) {
         if (now >= until)
-            over.push_back(instance);
+            expired.push_back(instance);
     }
-    for (auto const& instance : over)
+    for (auto const& instance : expired)
         remove(instance, now);
 }
 
 void UpstreamDirectory::tick(Instant now)
 {
-    dropLost(now);
-    std::vector<std::string> over;
-    for (auto const& [instance, until] : m_lapsed) {
+    removeExpiredMissing(now);
+    std::vector<std::string> expired;
+    for (auto const& [instance, until] : m_expired) {
         if (now >= until)
-            over.push_back(instance);
+            expired.push_back(instance);
     }
-    for (auto const& instance : over) {
-        m_lapsed.erase(instance);
+    for (auto const& instance : expired) {
+        m_expired.erase(instance);
         m_changed({ instance, {} });
     }
-    std::vector<UpstreamRecord> believed;
+    std::vector<UpstreamRecord> accepted;
     for (auto const& [instance, earlier] : m_earlierStarts) {
-        if (now - earlier.since > m_bounds.earlierStart)
-            believed.push_back(earlier.record);
+        if (now - earlier.since > m_bounds.earlierStartTimeout)
+            accepted.push_back(earlier.record);
     }
-    for (auto& record : believed) {
+    for (auto& record : accepted) {
         m_earlierStarts.erase(record.instance);
-        take(std::move(record));
+        store(std::move(record));
     }
 }
 
--- a/Libraries/LibMembership/UpstreamRecord.cpp
+++ b/Libraries/LibMembership/UpstreamRecord.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-    // What the number that says whether an upstream is leaving holds besides.
+    // Bits of the flags field.
     constexpr uint64_t leavingFlag = 1;
     constexpr uint64_t incarnationFlag = 2;
-    // In the hash of a record of a cold upstream.
-    constexpr uint64_t coldMark = 0x636f6c64;
+    // Mixed into the hash of a cold upstream's record.
+    constexpr uint64_t coldHashSalt = 0x636f6c64;
 
 }
 
@@ -24,7 +24,7 @@
 {
     uint64_t result = slots * 2 + (isLeaving ? 1 : 0);
     if (coldLeft.count())
-        result = mixHashes(result, coldMark);
+        result = mixHashes(result, coldHashSalt);
     for (auto const* text : { &instance, &service, &address, &hall })
         result = mixHashes(result, hashOf(*text));
     return incarnation.isNull() ? result : mixHashes(result, incarnation.value());
--- a/Libraries/LibMembership/UpstreamRecord.h
+++ b/Libraries/LibMembership/UpstreamRecord.h
@@ -9,41 +9,41 @@
 
 namespace Stagepost {
 
-// What an upstream has recorded of itself in the platform's store.
+// An upstream's own record in the platform's store.
 struct UpstreamRecord {
-    // The upstream's name, which a process that starts again may keep.
+    // The upstream's name. A restarted process may keep it.
     std::string instance;
     std::string service;
     // IP:PORT.
     std::string address;
     std::string hall;
-    // Requests that it works on at once.
+    // The number of requests that it processes concurrently.
     size_t slots { 1 };
     bool isLeaving { false };
-    // How much longer it stays slow after its start.
+    // How much longer it runs slowly after a cold start.
     Milliseconds coldLeft { 0 };
-    // When its process started, in milliseconds since 1970 by its own clock; null where
-    // it does not say.
+    // The start time of its process, in milliseconds since 1970 by its own clock. Null if
+    // the record doesn't contain it.
     Incarnation incarnation {};
 
-    // Of this start. A process that starts again holds nothing and has nothing in flight,
-    // so all that is known of the one before must not pass to it: it is another upstream.
+    // Differs for each start of the process. A restarted process has no cached contexts and
+    // no requests in flight, so it counts as another upstream and inherits no state.
     UpstreamId id() const;
     bool operator==(UpstreamRecord const&) const = default;
 
-    // Differs wherever what matters to other daemons does: of the time that a cold upstream
-    // still takes, which changes by itself, only whether there is any.
+    // Covers every field that matters to other daemons. Of coldLeft, which decreases by
+    // itself, it covers only whether it is zero.
     uint64_t hash() const;
 };
 
-// An upstream that is there now, or is not any more.
+// An upstream that was added, changed or removed.
 struct UpstreamChange {
     std::string instance;
-    // None where the upstream is gone.
+    // None if the upstream was removed.
     std::optional<UpstreamRecord> record;
 };
 
-// A record without an incarnation is written as by versions that do not know of any.
+// Without an incarnation, the encoding is that of versions that don't support incarnations.
 void write(MessageWriter&, UpstreamRecord const&);
 UpstreamRecord readUpstreamRecord(MessageReader&);
 
