--- a/Libraries/LibMembership/InFlightCounts.cpp
+++ b/Libraries/LibMembership/InFlightCounts.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-    constexpr uint64_t largestByte = std::numeric_limits<unsigned char>::max();
+    constexpr uint64_t maxByte = std::numeric_limits<unsigned char>::max();
 
     void appendByte(std::string& bytes, uint64_t value)
     {
-        bytes += static_cast<char>(static_cast<unsigned char>(std::min(value, largestByte)));
+        bytes += static_cast<char>(static_cast<unsigned char>(std::min(value, maxByte)));
     }
 
-    void appendRunOfNone(std::string& bytes, uint64_t length)
+    void appendZeroRun(std::string& bytes, uint64_t length)
     {
-        for (; length; length -= std::min(length, largestByte)) {
+        for (; length; length -= std::min(length, maxByte)) {
             appendByte(bytes, 0);
             appendByte(bytes, length);
         }
@@ -27,18 +27,18 @@
 std::string packCounts(UpstreamList const& list, InFlightTotals const& counts)
 {
     std::string bytes;
-    uint64_t none = 0;
+    uint64_t zeros = 0;
     for (auto const id : list) {
         auto const found = counts.find(id);
         if (found == counts.end() || !found->second) {
-            ++none;
+            ++zeros;
             continue;
         }
-        appendRunOfNone(bytes, none);
-        none = 0;
+        appendZeroRun(bytes, zeros);
+        zeros = 0;
         appendByte(bytes, found->second);
     }
-    appendRunOfNone(bytes, none);
+    appendZeroRun(bytes, zeros);
     return bytes;
 }
 
@@ -49,16 +49,16 @@
     for (size_t index = 0; index < packed.size(); ++index) {
         if (auto const count = static_cast<unsigned char>(packed[index])) {
             if (position >= list.size())
-                return Error(ErrorCode::Malformed, "more counts than upstreams");
+                return Error(ErrorCode::Malformed, "packed counts exceed the upstream list");
             result.push_back({ list[position++], count });
             continue;
         }
         if (++index == packed.size())
-            return Error(ErrorCode::Malformed, "a run of counts has no length");
+            return Error(ErrorCode::Malformed, "packed counts end within a zero run");
         position += static_cast<unsigned char>(packed[index]);
     }
     if (position != list.size())
-        return Error(ErrorCode::Malformed, "other counts than upstreams");
+        return Error(ErrorCode::Malformed, "packed counts don't match the length of the upstream list");
     return result;
 }
 
--- a/Libraries/LibMembership/InFlightCounts.h
+++ b/Libraries/LibMembership/InFlightCounts.h
@@ -9,27 +9,26 @@
 
 namespace Stagepost {
 
-// How many requests some daemons have in flight at an upstream.
+// The number of requests that one or more daemons have in flight at an upstream.
 struct UpstreamInFlight {
     UpstreamId upstream;
     uint64_t count { 0 };
 };
 
-// The same by upstream, to be added up.
+// Requests in flight by upstream, for summing.
 using InFlightTotals = std::unordered_map<UpstreamId, uint64_t>;
 
-// Upstreams in an order that all daemons agree on who know the same ones.
+// Upstreams in a fixed order: daemons with the same records have the same list.
 using UpstreamList = std::vector<UpstreamId>;
 
-// The counts of all upstreams of a list as bytes, short enough to ride on every
-// message between daemons: one byte an upstream, in the list's order, and two for
-// a run of upstreams that have none. Counts above 255 are written as 255: an
-// upstream with that many is full by any measure. Upstreams that the list does
-// not name are left out.
+// Encodes the counts of all upstreams of a list compactly enough for every message between
+// daemons: one byte per upstream, in the list's order, and two bytes per run of up to 255
+// upstreams without requests. Counts saturate at 255, since an upstream with that many
+// requests is full in any case. Upstreams that aren't in the list are omitted.
 std::string packCounts(UpstreamList const& list, InFlightTotals const&);
 
-// The upstreams that have any, in the list's order. Error: Malformed, where the
-// bytes were not packed with a list of that length.
+// Returns the upstreams with requests in flight, in the list's order. Error: Malformed, if
+// the bytes don't match the length of the list.
 Result<std::vector<UpstreamInFlight>> unpackCounts(UpstreamList const& list, std::string_view packed);
 
 }
--- a/Libraries/LibMembership/StateExchange.cpp
+++ b/Libraries/LibMembership/StateExchange.cpp
@@ -217,7 +217,7 @@
     std::erase_if(m_askers, [now](auto const& asker) { return now - asker.second > longestWait; });
     // Other relays send as rarely as this one, so a sum counts until the second
     // after it is due; where only the spare tells, that is so many rounds later.
-    m_loads.forget(now, groupMemory, std::max<Microseconds>(relayMemory, (spareRounds + 1) * m_relayLoadsPeriod));
+    m_loads.expire(now, groupMemory, std::max<Microseconds>(relayMemory, (spareRounds + 1) * m_relayLoadsPeriod));
     if (m_isRelay) {
         tellRelays(now);
         tellGroup(now);
@@ -258,14 +258,14 @@
 {
     if (now < m_nextRelayLoadsAt)
         return;
-    auto const all = m_loads.ofAll(now);
-    m_hooks.beliefs.othersInFlight(listOf(all.counts()), all.age());
-    auto const group = loadsMessage(StateMessage::Kind::GroupLoads, withOwn(m_loads.ofGroup(now)));
+    auto const all = m_loads.allTotals(now);
+    m_hooks.beliefs.othersInFlight(toList(all.counts()), all.age());
+    auto const group = loadsMessage(StateMessage::Kind::GroupLoads, withOwn(m_loads.groupTotals(now)));
     for (auto const relay : m_hallRelays)
         m_hooks.send(relay, group);
     bool const isSpareRound = ++m_relayLoadsRound % spareRounds == 0;
     auto const& counterparts = isSpareRound ? m_spareCounterparts : m_counterparts;
-    auto const hall = loadsMessage(StateMessage::Kind::HallLoads, withOwn(m_loads.ofHall(now)));
+    auto const hall = loadsMessage(StateMessage::Kind::HallLoads, withOwn(m_loads.hallTotals(now)));
     for (auto const relay : counterparts)
         m_hooks.send(relay, hall);
     auto const period = affordable(group.size(), m_hallRelays.size(), m_bounds.loadsBytesPerSecond) + affordable(hall.size(), m_counterparts.size(), m_bounds.loadsBytesPerSecond);
@@ -280,11 +280,11 @@
     auto const group = m_loads.group();
     if (now < m_nextGroupLoadsAt || group.empty())
         return;
-    auto const all = withOwn(m_loads.ofAll(now));
+    auto const all = withOwn(m_loads.allTotals(now));
     size_t largest = 0;
     for (auto const member : group) {
         auto others = all.counts();
-        subtract(others, m_loads.toldBy(member));
+        subtract(others, m_loads.countsFrom(member));
         auto const list = m_groupLists[member];
         StateMessage const message { StateMessage::Kind::OthersLoads, 0, 0, { m_hooks.beliefs.summary().settingsVersion, list, 0 }, pack(others, list), all.age(), {}, {} };
         auto const encoded = message.encode();
@@ -326,13 +326,13 @@
     PackedCounts counts { message.summary.upstreamsHash, std::move(message.inFlight), message.inFlightAge };
     if (message.kind == StateMessage::Kind::OwnLoads) {
         m_groupLists[from] = counts.listHash;
-        m_loads.takeFromGroup(from, std::move(counts), now);
+        m_loads.setFromGroup(from, std::move(counts), now);
     } else if (message.kind == StateMessage::Kind::GroupLoads) {
-        m_loads.takeFromRelay(from, std::move(counts), now);
+        m_loads.setFromRelay(from, std::move(counts), now);
     } else {
         auto const sender = std::find_if(m_peers.begin(), m_peers.end(), [from](auto const& peer) { return peer.id == from; });
         if (sender != m_peers.end())
-            m_loads.takeFromHall(sender->hall, std::move(counts), now);
+            m_loads.setFromHall(sender->hall, std::move(counts), now);
     }
 }
 
--- a/Libraries/LibMembership/StateExchange.h
+++ b/Libraries/LibMembership/StateExchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibBase/FleetPeer.h>
-#include <LibMembership/LoadSums.h>
+#include <LibMembership/LoadAggregator.h>
 #include <LibMembership/StateMessage.h>
 #include <functional>
 #include <map>
@@ -72,7 +72,7 @@
         // What another daemon knows of that, proven as of the time or not at all.
         std::function<void(EmptiedHallsState const&, std::optional<Instant> provenAt)> takeEmptiedHalls { [](auto const&, auto const&) {} };
         // The upstreams of the list with that hash, in its order, if it is known.
-        LoadSums::ListHook upstreamsOf;
+        LoadAggregator::ListHook upstreamsOf;
         std::function<std::vector<UpstreamInFlight>()> ownInFlight;
         // What all other daemons had in flight so long ago.
         std::function<void(std::vector<UpstreamInFlight> const&, Microseconds age)> othersInFlight;
@@ -185,7 +185,7 @@
     // Of the registry, which others have and could not tell.
     uint64_t m_missedRegistryVersion { 0 };
     std::vector<WaitingAsk> m_waiting;
-    LoadSums m_loads;
+    LoadAggregator m_loads;
     size_t m_unreadableCounts { 0 };
     // By which list each daemon of the group reads counts.
     std::map<VMId, uint64_t> m_groupLists;
