--- a/Libraries/LibMembership/StateExchange.h
+++ b/Libraries/LibMembership/StateExchange.h
@@ -10,150 +10,158 @@
 
 namespace Stagepost {
 
-// Keeps the beliefs of a fleet fresh with few reads of the store. In each hall
-// some daemons are relays, in an order that all agree on. The first of them, the
-// reader, reads the store; the other relays ask the reader, and everybody else
-// asks a relay. An ask carries the asker's own time, and it is answered only by
-// beliefs that were proven after the ask arrived, so the asker's belief is proven
-// as of the moment at which it asked, however long any message took. When the
-// reader does not answer, the next relay reads in its place. A daemon that gets
-// no proof in time reads the store itself, and one that cannot do that either
-// asks others, so what a single daemon can read keeps all fresh that reach it.
+// Keeps the state of a fleet current with few reads of the store. In each hall some
+// daemons are relays, in an order that all daemons agree on. The first relay, the reader,
+// reads the store. The other relays query the reader, and all other daemons query a relay.
+// A query contains the time at which it was sent, and is only answered once the responder's
+// state was confirmed after the query's arrival. So the response confirms the requester's
+// state as of that time, regardless of how long the messages took. When the reader doesn't
+// respond, the next relay takes its place. A daemon that gets no confirmation in time reads
+// the store itself. One that can't reach the store either queries other daemons, so a single
+// daemon with access to the store keeps all daemons current that can reach it.
 //
-// Beside that daemons tell one another how many requests they have in flight at each
-// upstream: each its own to its relay, the relays of a hall their groups' sums to one
-// another, each of them its hall's sum to a relay of each other hall, and everybody's
-// down again. So no daemon sends to more than its hall's relays and as many halls.
+// Daemons also exchange how many requests they have in flight at each upstream. Each sends
+// its own counts to its relay. The relays of a hall send the sums of their groups to each
+// other, each sends its hall's sum to its counterparts among the relays of the other halls,
+// and each sends the totals to its group. So a relay sends to its group, its hall's relays
+// and its counterparts only, and every other daemon to one relay.
 class StateExchange {
 public:
     struct Bounds {
-        // From one ask to the next. Relays ask more often: others wait for them.
-        Microseconds askInterval { 400000 };
-        Microseconds relayAskInterval { 200000 };
-        // With a belief older than this a daemon reads the store itself. Beliefs
-        // that came by two asks are as old as both and the reader's interval.
+        // The interval between queries. Relays query more often, since other daemons wait for
+        // their responses.
+        Microseconds queryInterval { 400000 };
+        Microseconds relayQueryInterval { 200000 };
+        // A daemon with an older state reads the store itself. A state confirmed through a
+        // relay and the reader can be as old as both query intervals and the reader's read
+        // interval together.
         Microseconds fallbackAge { 1600000 };
-        // With one older than this it reads the registry of daemons as well: all that it
-        // knows may be gone. Sooner, a whole fleet would do so in each outage of the store.
+        // A daemon with an older state reads the registry of daemons as well, since all daemons
+        // that it knows may be gone. With a smaller value, the whole fleet would read it in
+        // each outage of the store.
         Microseconds registryFallbackAge { 10000000 };
-        // How many daemons of a hall share one relay: so many asks and answers a
-        // relay can send within a daemon's few kilobytes a second.
+        // The number of daemons of a hall per relay. A relay can respond to this many within
+        // the few kilobytes a second that a daemon may send.
         size_t groupSize { 8 };
-        // Without an answer for this long another daemon is asked. This one is asked
-        // besides, once in the time of suspicion, until it answers.
-        Microseconds answerPatience { 1000000 };
-        Microseconds suspicion { 5000000 };
-        // The least interval of requests in flight, which grows with what has to be
-        // told so that a relay sends no more than these bytes a second to other relays,
-        // and as many again to its group; the two and the answers keep it within a
-        // daemon's few kilobytes a second.
-        Microseconds loadsInterval { 250000 };
-        double loadsBytesPerSecond { 2600 };
+        // Without a response for this long, a daemon is suspected and another one is queried.
+        Microseconds responseTimeout { 1000000 };
+        // The interval at which a suspected daemon is queried in addition, until it responds.
+        Microseconds suspectQueryInterval { 5000000 };
+        // The minimum interval between messages with requests in flight. It grows with their
+        // size, so that a relay sends at most maxLoadsBytesPerSecond to other relays and the
+        // same again to its group. Together with the responses that stays within the few
+        // kilobytes a second that a daemon may send.
+        Microseconds minLoadsInterval { 250000 };
+        double maxLoadsBytesPerSecond { 2600 };
     };
 
-    // What this daemon believes, and how that is changed.
-    struct Beliefs {
+    // Access to this daemon's state.
+    struct LocalState {
         std::function<StateSummary()> summary;
-        // As of when all of the own beliefs are proven.
+        // The latest time as of which the whole state was confirmed to be current.
         std::function<std::optional<Instant>()> provenAt;
-        // The own beliefs are right as of then.
-        std::function<void(Instant)> confirmed;
-        // What has changed since a list of that hash, if that is known and little.
-        std::function<std::vector<UpstreamChange>(uint64_t upstreamsHash)> changesSince;
-        // Changes the own list of upstreams, which is older than the time.
-        std::function<void(std::vector<UpstreamChange> const&, Instant provenAt)> applyChanges;
-        // What has changed in the registry of daemons since that version, if that is
-        // known and little.
-        std::function<std::optional<std::vector<RegistryRecord>>(uint64_t version)> registrySince;
-        // Changes the own list of daemons, which is older, to that version.
-        std::function<void(std::vector<RegistryRecord> const&, uint64_t version)> applyRegistry;
-        // Which halls operators empty.
+        // Records that the state was current at this time.
+        std::function<void(Instant)> confirm;
+        // The changes since the list of upstreams had this hash, or an empty list if they are
+        // unknown or too many.
+        std::function<std::vector<UpstreamChange>(uint64_t upstreamsHash)> upstreamChangesSince;
+        // Applies changes to the list of upstreams, which was last confirmed before this time.
+        std::function<void(std::vector<UpstreamChange> const&, Instant provenAt)> applyUpstreamChanges;
+        // The changes of the registry of daemons since this version, or none if they are
+        // unknown or too many.
+        std::function<std::optional<std::vector<RegistryRecord>>(uint64_t version)> registryChangesSince;
+        // Applies changes that update the known registry to this newer version.
+        std::function<void(std::vector<RegistryRecord> const&, uint64_t version)> applyRegistryChanges;
+        // The halls that operators have ordered to be emptied.
         std::function<EmptiedHallsState()> emptiedHalls { [] { return EmptiedHallsState {}; } };
-        // What another daemon knows of that, proven as of the time or not at all.
-        std::function<void(EmptiedHallsState const&, std::optional<Instant> provenAt)> takeEmptiedHalls { [](auto const&, auto const&) {} };
-        // The upstreams of the list with that hash, in its order, if it is known.
-        LoadAggregator::ListHook upstreamsOf;
+        // Applies another daemon's state of these orders, which was current at the given time
+        // if there is one.
+        std::function<void(EmptiedHallsState const&, std::optional<Instant> provenAt)> applyEmptiedHalls { [](auto const&, auto const&) {} };
+        // The list of upstreams with this hash, or null if it is unknown.
+        LoadAggregator::ListHook upstreamListForHash;
         std::function<std::vector<UpstreamInFlight>()> ownInFlight;
-        // What all other daemons had in flight so long ago.
-        std::function<void(std::vector<UpstreamInFlight> const&, Microseconds age)> othersInFlight;
+        // Stores the requests in flight of all other daemons, with their mean age.
+        std::function<void(std::vector<UpstreamInFlight> const&, Microseconds age)> setOthersInFlight;
     };
 
     struct Hooks {
         std::function<void(VMId to, std::string bytes)> send;
-        // That daemon believes something else, proven as of the time or not at all.
-        std::function<void(VMId from, StateSummary const&, std::optional<Instant> provenAt)> differs;
-        Beliefs beliefs;
+        // Another daemon's state differs from the own one. It was current at the given time if
+        // there is one.
+        std::function<void(VMId from, StateSummary const&, std::optional<Instant> provenAt)> stateDiffers;
+        LocalState localState;
     };
 
-    // The process number is drawn at random at each start.
+    // The process number must be random for each start.
     StateExchange(FleetPeer self, uint64_t process, Bounds bounds, Hooks hooks)
         : m_self(self)
         , m_process(process)
         , m_bounds(bounds)
         , m_hooks(std::move(hooks))
-        , m_loads(m_hooks.beliefs.upstreamsOf)
+        , m_loads(m_hooks.localState.upstreamListForHash)
     {
     }
 
-    // All other daemons that are registered.
+    // Sets the registered daemons. This daemon's own entry is ignored.
     void setPeers(std::vector<FleetPeer>);
 
     // Error: Malformed.
     Result<void> receive(VMId from, std::string_view bytes, Instant now);
     void tick(Instant now);
-    // The own beliefs were proven anew: asks may be answered now.
-    void proven(Instant now);
-    // The own beliefs have changed.
-    void changed(Instant now);
+    // To be called when the local state was confirmed: responds to the queries that arrived
+    // before the time as of which it is now confirmed.
+    void localStateConfirmed(Instant now);
+    // To be called when the local state has changed: notifies the recent requesters.
+    void localStateChanged(Instant now);
 
     bool isRelay() const { return m_isRelay; }
-    // Whether it reads the store for others: the first relay of its hall, or the
-    // next one while that does not answer.
+    // Whether this daemon reads the store for others: it is a relay, and all relays of its
+    // hall before it are suspected.
     bool isReader() const;
-    // Whether this daemon is to read the store now.
+    // Whether this daemon has to read the store now.
     bool needsStore(Instant now) const;
-    // Whether this daemon is to read the registry now: nobody tells it, or others
-    // have come too far to tell it.
+    // Whether this daemon has to read the registry now: it is the reader, gets no
+    // confirmations, or has missed more changes than others can send.
     bool needsRegistry(Instant now) const;
     size_t peerCount() const { return m_peers.size(); }
-    // Of all halls, this daemon among them where it is one.
+    // The relays of all halls, including this daemon if it is one.
     std::vector<VMId> const& relays() const { return m_relays; }
-    // Who has asked this daemon for proofs within the last seconds.
-    std::vector<VMId> askers() const;
-    // Counts that others sent and that contradicted the list they went by.
+    // The daemons that have queried this one within the last seconds.
+    std::vector<VMId> recentRequesters() const;
+    // The number of received counts that didn't match their list of upstreams.
     size_t unreadableCounts() const { return m_unreadableCounts + m_loads.unreadableCounts(); }
 
 private:
-    struct WaitingAsk {
+    struct PendingQuery {
         VMId from;
-        uint64_t stamp { 0 };
-        uint64_t askingProcess { 0 };
+        uint64_t sentAt { 0 };
+        uint64_t requesterProcess { 0 };
         StateSummary summary;
         Instant arrivedAt;
     };
 
-    Microseconds ageOfProof(Instant now) const;
+    Microseconds stateAge(Instant now) const;
     bool isStale(Instant now) const;
     std::vector<VMId> relaysOf(HallId) const;
     void orderPeers();
     void orderCounterparts(std::vector<VMId> const& relays);
-    std::optional<VMId> whomToAsk(Instant now);
-    bool needsProof(Instant now) const;
-    void sendAsk(VMId to, Instant now);
-    void askSuspected(Instant now);
-    void takeAsk(VMId from, StateMessage const&, Instant now);
-    void ask(Instant now);
-    void takeAnswer(VMId from, StateMessage const&, Instant now);
-    void takeLoads(VMId from, StateMessage&&, Instant now);
-    void takeRegistry(StateMessage const&);
-    void takeOthersInFlight(StateMessage const&);
-    void takeNews(VMId from, StateMessage const&);
-    void tellOwnLoads(Instant now);
-    void tellRelays(Instant now);
-    void tellGroup(Instant now);
-    AgedTotals withOwn(AgedTotals) const;
-    std::string pack(InFlightTotals const&, uint64_t upstreamsHash) const;
-    std::string loadsMessage(StateMessage::Kind, AgedTotals const&) const;
+    std::optional<VMId> selectPeerToQuery(Instant now);
+    bool needsConfirmation(Instant now) const;
+    void sendQuery(VMId to, Instant now);
+    void querySuspectedPeer(Instant now);
+    void handleQuery(VMId from, StateMessage const&, Instant now);
+    void queryPeer(Instant now);
+    void handleResponse(VMId from, StateMessage const&, Instant now);
+    void handleLoads(VMId from, StateMessage&&, Instant now);
+    void handleRegistryChanges(StateMessage const&);
+    void handleOthersLoads(StateMessage const&);
+    void handleNotification(VMId from, StateMessage const&);
+    void sendOwnLoads(Instant now);
+    void sendLoadsToRelays(Instant now);
+    void sendLoadsToGroup(Instant now);
+    AgedTotals withOwnLoads(AgedTotals) const;
+    std::string packForList(InFlightTotals const&, uint64_t upstreamsHash) const;
+    std::string encodeLoads(StateMessage::Kind, AgedTotals const&) const;
 
     FleetPeer m_self;
     uint64_t m_process;
@@ -162,33 +170,35 @@
     std::vector<FleetPeer> m_peers;
     bool m_isRelay { true };
     std::vector<VMId> m_relays;
-    // The relays of the own hall that go before this one.
-    std::vector<VMId> m_relaysBefore;
-    // Whom to ask, the best first.
-    std::vector<VMId> m_order;
+    // The relays of the own hall that come before this one.
+    std::vector<VMId> m_precedingRelays;
+    // The daemons to query, in order of preference.
+    std::vector<VMId> m_queryOrder;
     // The other relays of the own hall.
     std::vector<VMId> m_hallRelays;
-    // Relays of other halls that this one tells its hall's sum, and those that it
-    // tells now and then, since whoever else tells them may be gone.
+    // The relays of other halls that get this hall's sum from this relay, and those that get
+    // it occasionally, in case their regular sender is gone.
     std::vector<VMId> m_counterparts;
-    std::vector<VMId> m_spareCounterparts;
-    // Who has not answered, and when it is asked again. Only an answer ends that.
-    std::map<VMId, Instant> m_suspectedUntil;
-    // Who has asked, and when last.
-    std::map<VMId, Instant> m_askers;
-    std::optional<VMId> m_asked;
-    Instant m_askedAt;
-    // Of the first tick: a daemon that has just joined is given time to be told.
+    std::vector<VMId> m_backupCounterparts;
+    // The suspected daemons and when each is queried again. Only a response, or leaving the
+    // registry, ends a suspicion.
+    std::map<VMId, Instant> m_suspectRetryAt;
+    // The recent requesters and the time of their last queries.
+    std::map<VMId, Instant> m_requesters;
+    std::optional<VMId> m_queriedPeer;
+    Instant m_lastQueryAt;
+    // The time of the first tick. The state's age counts from it until the state is confirmed,
+    // so a daemon that has just joined waits for a confirmation before it reads the store.
     std::optional<Instant> m_startedAt;
-    StateSummary m_askedWith;
+    StateSummary m_summaryAtQuery;
     std::optional<Instant> m_unansweredSince;
-    // Of the registry, which others have and could not tell.
+    // The newest registry version that another daemon has but could not send the changes to.
     uint64_t m_missedRegistryVersion { 0 };
-    std::vector<WaitingAsk> m_waiting;
+    std::vector<PendingQuery> m_pendingQueries;
     LoadAggregator m_loads;
     size_t m_unreadableCounts { 0 };
-    // By which list each daemon of the group reads counts.
-    std::map<VMId, uint64_t> m_groupLists;
+    // The hash of the list of upstreams that each daemon of the group packs its counts with.
+    std::map<VMId, uint64_t> m_groupListHashes;
     Instant m_nextOwnLoadsAt;
     Instant m_nextRelayLoadsAt;
     Instant m_nextGroupLoadsAt;
--- a/Libraries/LibMembership/StateMessage.cpp
+++ b/Libraries/LibMembership/StateMessage.cpp
@@ -55,15 +55,15 @@
 {
     MessageWriter writer;
     writer.number(static_cast<uint64_t>(kind));
-    writer.number(stamp);
-    writer.number(askingProcess);
+    writer.number(querySentAt);
+    writer.number(requesterProcess);
     writer.number(summary.settingsVersion);
     writer.number(summary.upstreamsHash);
     writer.number(summary.registryVersion);
     writer.text(inFlight);
     writer.duration(inFlightAge);
-    writer.number(changes.size());
-    for (auto const& change : changes) {
+    writer.number(upstreamChanges.size());
+    for (auto const& change : upstreamChanges) {
         writer.text(change.instance);
         writer.number(change.record ? 1 : 0);
         if (change.record)
@@ -83,8 +83,8 @@
     StateMessage message;
     auto const kind = reader.number();
     message.kind = static_cast<Kind>(kind);
-    message.stamp = reader.number();
-    message.askingProcess = reader.number();
+    message.querySentAt = reader.number();
+    message.requesterProcess = reader.number();
     message.summary.settingsVersion = reader.number();
     message.summary.upstreamsHash = reader.number();
     message.summary.registryVersion = reader.number();
@@ -92,7 +92,7 @@
     message.inFlightAge = reader.duration();
     auto const changeCount = reader.count();
     for (size_t index = 0; index < changeCount && !reader.failed(); ++index) {
-        auto& change = message.changes.emplace_back();
+        auto& change = message.upstreamChanges.emplace_back();
         change.instance = reader.text();
         if (reader.number())
             change.record = readUpstreamRecord(reader);
@@ -102,7 +102,7 @@
     if (!reader.finished())
         message.emptiedHalls = readEmptiedHalls(reader);
     if (!reader.finished() || kind > static_cast<uint64_t>(Kind::OthersLoads))
-        return Error(ErrorCode::Malformed, "a state message is not understood");
+        return Error(ErrorCode::Malformed, "invalid state message");
     return message;
 }
 
--- a/Libraries/LibMembership/StateMessage.h
+++ b/Libraries/LibMembership/StateMessage.h
@@ -13,59 +13,59 @@
 
 namespace Stagepost {
 
-// What a daemon believes, short enough to be compared in every message.
+// Versions and hashes of a daemon's state, small enough for every message.
 struct StateSummary {
-    // Of the configuration; 0 for none.
+    // The version of the configuration, or 0 without one.
     uint64_t settingsVersion { 0 };
-    // A hash over the records of all upstreams.
+    // The hash of all upstream records.
     uint64_t upstreamsHash { 0 };
-    // Of the registry of daemons.
+    // The version of the registry of daemons.
     uint64_t registryVersion { 0 };
 
     bool operator==(StateSummary const&) const = default;
 };
 
-// A message by which daemons prove to one another how old their beliefs are.
+// A message by which daemons confirm to each other how recent their state is, or send
+// their requests in flight.
 struct StateMessage {
     enum class Kind : uint8_t {
-        // Asks for a proof.
-        Ask,
-        // Whoever sends it has read the store after the ask arrived and believes
-        // what the summary says.
-        Answer,
-        // Something has changed; proves nothing.
-        News,
-        // The requests in flight of the sender itself, for its relay.
+        // Requests a confirmation of the state.
+        Query,
+        // The sender's state is as in the summary, and was confirmed to be current after the
+        // query arrived.
+        Response,
+        // The sender's state has changed. Doesn't confirm anything.
+        Notification,
+        // The sender's own requests in flight, for its relay.
         OwnLoads,
-        // Those of the daemons that tell the sender theirs, and its own, for the other
-        // relays of its hall.
+        // The requests in flight of the sender and its group, for the other relays of its hall.
         GroupLoads,
-        // Those of the sender's whole hall, for a relay of another hall.
+        // The requests in flight of the sender's whole hall, for a relay of another hall.
         HallLoads,
-        // Those of all daemons but the receiver, from its relay.
+        // The requests in flight of all daemons but the receiver, from its relay.
         OthersLoads,
     };
 
-    Kind kind { Kind::Ask };
-    // The asker's own clock when it asked, in microseconds; an answer repeats it.
-    uint64_t stamp { 0 };
-    // Drawn anew by each process: stamps of an earlier one, which may have run on
-    // another VM's clock, mean nothing to this one.
-    uint64_t askingProcess { 0 };
+    Kind kind { Kind::Query };
+    // When the query was sent, in microseconds of the requester's clock. The response repeats it.
+    uint64_t querySentAt { 0 };
+    // A random number of the requester's process. Query times of an earlier process are
+    // invalid, as it may have run with another VM's clock.
+    uint64_t requesterProcess { 0 };
     StateSummary summary;
-    // Requests in flight, packed by the list of upstreams that the summary names;
-    // empty where the message says nothing about them.
+    // Requests in flight, packed with the list of upstreams that the summary identifies.
+    // Empty if the message contains none.
     std::string inFlight;
-    // How long ago those requests were counted, in the mean.
+    // The mean age of those counts.
     Microseconds inFlightAge { 0 };
-    // In an answer: what leads from the asker's list of upstreams to the summary's,
-    // where that is little. An asker that comes to another list takes the whole.
-    std::vector<UpstreamChange> changes;
-    // In an answer: what leads from the asker's version of the registry to the
-    // summary's, where that is known and little. One without it has to be read.
+    // In a response: the changes from the requester's list of upstreams to the summary's, if
+    // there are few. A requester whose list still differs after these fetches the whole list.
+    std::vector<UpstreamChange> upstreamChanges;
+    // In a response: the changes from the requester's version of the registry to the summary's,
+    // if they are known and few. Without them, the requester has to read the registry.
     std::optional<std::vector<RegistryRecord>> registryChanges;
-    // In an answer and in news: which halls operators empty. None from a daemon of a
-    // version that does not know of them.
+    // In a response or notification: the halls that operators have ordered to be emptied. None
+    // from a daemon whose version doesn't support such orders.
     std::optional<EmptiedHallsState> emptiedHalls {};
 
     std::string encode() const;
--- a/Tests/LibMembership/TestEmptiedHalls.cpp
+++ b/Tests/LibMembership/TestEmptiedHalls.cpp
@@ -114,7 +114,7 @@
 
 BOOST_AUTO_TEST_CASE(MessagesCarryEmptiedHallsUnlessFromAnEarlierVersion)
 {
-    StateMessage message { StateMessage::Kind::Answer, 1, 2, { 3, 4, 5 }, {}, {}, {}, {} };
+    StateMessage message { StateMessage::Kind::Response, 1, 2, { 3, 4, 5 }, {}, {}, {}, {} };
     auto const earlier = StateMessage::decode(message.encode());
     BOOST_REQUIRE(earlier.has_value());
     BOOST_TEST(!earlier->emptiedHalls.has_value());
--- a/Tests/LibMembership/TestStateExchange.cpp
+++ b/Tests/LibMembership/TestStateExchange.cpp
@@ -12,23 +12,23 @@
 namespace {
 
 constexpr Microseconds step { 10000 };
-// What the seal, UDP and IP add to each message.
-constexpr size_t headerBytes = 53;
-// What the users allow a daemon for all its control traffic, bytes a second.
-constexpr double controlBudget = 9000;
-
-// A fleet of daemons on a network that delays, loses and cuts, before a store whose
-// state is one number that rises. Each daemon's belief is that number. Whatever
-// happens, a daemon must never take its belief for newer than it is.
+// The bytes that the seal, UDP and IP add to each message.
+constexpr size_t messageOverheadBytes = 53;
+// The limit for all control traffic of a daemon, in bytes per second.
+constexpr double maxControlBytesPerSecond = 9000;
+
+// Simulates daemons on a network with delays, losses and partitions, and a store whose state
+// is a rising number, of which each daemon holds a copy. Under any faults, a daemon must
+// never consider its copy more recent than it is.
 class Fleet {
 public:
     struct Daemon {
         VMId id;
         HallId hall;
         std::unique_ptr<StateExchange> exchange;
-        uint64_t belief { 0 };
+        uint64_t state { 0 };
         ProvenAge age;
-        bool reachesStore { true };
+        bool canReadStore { true };
         bool isPaused { false };
         size_t reads { 0 };
         Instant readAt;
@@ -58,7 +58,7 @@
         }
     }
 
-    // The state of the store changes.
+    // Changes the state of the store.
     void change()
     {
         m_versions.push_back({ m_now, ++store });
@@ -69,7 +69,7 @@
         for (auto const end = m_now + duration; m_now < end; m_now += step) {
             deliver();
             for (auto& daemon : daemons)
-                turn(*daemon);
+                tickDaemon(*daemon);
             check();
         }
     }
@@ -78,15 +78,14 @@
 
     std::vector<std::unique_ptr<Daemon>> daemons;
     uint64_t store { 1 };
-    // Of the registry in the store; each version changes one record.
+    // The version of the registry in the store. Each version changes one record.
     uint64_t registryVersion { 1 };
-    // Those that requests may be in flight at.
+    // The upstreams that requests may be in flight at.
     UpstreamList upstreams { UpstreamId(77) };
-    // Of a hundred messages.
-    unsigned lossShare { 0 };
-    Microseconds mostDelay { 5000 };
-    // Messages between these halls are lost.
-    std::optional<HallId> cutHall;
+    unsigned lossPercent { 0 };
+    Microseconds maxDelay { 5000 };
+    // Messages between this hall and the others are lost.
+    std::optional<HallId> partitionedHall;
     size_t violations { 0 };
 
 private:
@@ -113,33 +112,33 @@
     {
         StateExchange::Hooks hooks;
         hooks.send = [this, &daemon](VMId to, std::string const& bytes) { send(daemon, to, bytes); };
-        hooks.differs = [this, &daemon](VMId from, StateSummary const&, std::optional<Instant> provenAt) {
+        hooks.stateDiffers = [this, &daemon](VMId from, StateSummary const&, std::optional<Instant> provenAt) {
             m_fetches.push_back({ m_now + delay(), daemon.id.value() - 1, from, provenAt });
         };
-        hooks.beliefs.summary = [&daemon] { return StateSummary { daemon.belief, daemon.belief, daemon.registry.version() }; };
-        hooks.beliefs.provenAt = [&daemon] { return daemon.age.provenAt(); };
-        hooks.beliefs.confirmed = [this, &daemon](Instant provenAt) { confirm(daemon, provenAt); };
-        hooks.beliefs.changesSince = [](uint64_t) { return std::vector<UpstreamChange> {}; };
-        hooks.beliefs.applyChanges = [](auto const&, Instant) {};
-        hooks.beliefs.registrySince = [&daemon](uint64_t version) { return daemon.registry.changesSince(version); };
-        hooks.beliefs.applyRegistry = [&daemon](auto const& records, uint64_t version) { daemon.registry.add(records, version); };
-        hooks.beliefs.upstreamsOf = [this](uint64_t) { return std::make_shared<UpstreamList const>(upstreams); };
-        hooks.beliefs.ownInFlight = [&daemon] { return daemon.own; };
-        hooks.beliefs.othersInFlight = [&daemon](auto const& others, Microseconds age) {
+        hooks.localState.summary = [&daemon] { return StateSummary { daemon.state, daemon.state, daemon.registry.version() }; };
+        hooks.localState.provenAt = [&daemon] { return daemon.age.provenAt(); };
+        hooks.localState.confirm = [this, &daemon](Instant provenAt) { confirm(daemon, provenAt); };
+        hooks.localState.upstreamChangesSince = [](uint64_t) { return std::vector<UpstreamChange> {}; };
+        hooks.localState.applyUpstreamChanges = [](auto const&, Instant) {};
+        hooks.localState.registryChangesSince = [&daemon](uint64_t version) { return daemon.registry.changesSince(version); };
+        hooks.localState.applyRegistryChanges = [&daemon](auto const& records, uint64_t version) { daemon.registry.add(records, version); };
+        hooks.localState.upstreamListForHash = [this](uint64_t) { return std::make_shared<UpstreamList const>(upstreams); };
+        hooks.localState.ownInFlight = [&daemon] { return daemon.own; };
+        hooks.localState.setOthersInFlight = [&daemon](auto const& others, Microseconds age) {
             daemon.others = others;
             daemon.othersAge = age;
         };
         return hooks;
     }
 
-    Microseconds delay() { return Microseconds(static_cast<int64_t>(m_random() % static_cast<uint64_t>(mostDelay.count()))); }
+    Microseconds delay() { return Microseconds(static_cast<int64_t>(m_random() % static_cast<uint64_t>(maxDelay.count()))); }
 
     void send(Daemon& from, VMId to, std::string const& bytes)
     {
-        from.sentBytes += bytes.size() + headerBytes;
+        from.sentBytes += bytes.size() + messageOverheadBytes;
         auto const index = to.value() - 1;
-        bool const isCut = cutHall && (from.hall == *cutHall) != (daemons[index]->hall == *cutHall);
-        if (isCut || m_random() % 100 < lossShare)
+        bool const isPartitioned = partitionedHall && (from.hall == *partitionedHall) != (daemons[index]->hall == *partitionedHall);
+        if (isPartitioned || m_random() % 100 < lossPercent)
             return;
         m_transit.push_back({ m_now + delay(), index, from.id, bytes });
     }
@@ -147,12 +146,12 @@
     void confirm(Daemon& daemon, Instant provenAt)
     {
         daemon.age.confirm(provenAt);
-        daemon.exchange->proven(m_now);
+        daemon.exchange->localStateConfirmed(m_now);
     }
 
-    // A paused daemon gets what has arrived when it wakes up, late.
+    // Applies the items that have arrived. Those for a paused daemon wait until it resumes.
     template <typename Item, typename Apply>
-    void due(std::vector<Item>& items, Apply apply)
+    void applyDue(std::vector<Item>& items, Apply apply)
     {
         std::vector<Item> ready;
         std::erase_if(items, [&](Item& item) {
@@ -170,28 +169,28 @@
 
     void deliver()
     {
-        due(m_transit, [this](InTransit const& item) { (void)daemons[item.to]->exchange->receive(item.from, item.bytes, m_now); });
-        due(m_reads, [this](Read const& read) {
+        applyDue(m_transit, [this](InTransit const& item) { (void)daemons[item.to]->exchange->receive(item.from, item.bytes, m_now); });
+        applyDue(m_reads, [this](Read const& read) {
             auto& daemon = *daemons[read.by];
-            daemon.belief = std::max(daemon.belief, read.value);
+            daemon.state = std::max(daemon.state, read.value);
             confirm(daemon, read.sentAt);
         });
-        due(m_fetches, [this](Fetch const& fetch) {
+        applyDue(m_fetches, [this](Fetch const& fetch) {
             auto& daemon = *daemons[fetch.by];
-            daemon.belief = std::max(daemon.belief, daemons[fetch.from.value() - 1]->belief);
+            daemon.state = std::max(daemon.state, daemons[fetch.from.value() - 1]->state);
             if (fetch.provenAt)
                 confirm(daemon, *fetch.provenAt);
         });
     }
 
-    void turn(Daemon& daemon)
+    void tickDaemon(Daemon& daemon)
     {
         if (daemon.isPaused)
             return;
         daemon.exchange->tick(m_now);
         readRegistry(daemon);
         constexpr Microseconds readInterval { 500000 };
-        if (!daemon.reachesStore || !daemon.exchange->needsStore(m_now) || m_now - daemon.readAt < readInterval)
+        if (!daemon.canReadStore || !daemon.exchange->needsStore(m_now) || m_now - daemon.readAt < readInterval)
             return;
         daemon.readAt = m_now;
         ++daemon.reads;
@@ -210,14 +209,14 @@
             daemon.registry.add({ { "daemon " + std::to_string(version), "text" } }, version);
     }
 
-    // Whoever believes an older state takes it for proven only as of a time at
-    // which the next one was not there yet.
+    // Counts daemons that hold an older state although a newer one existed at the time as of
+    // which they consider theirs current.
     void check()
     {
         for (auto const& daemon : daemons) {
             auto const provenAt = daemon->age.provenAt();
             for (auto const& [at, version] : m_versions) {
-                if (provenAt && version > daemon->belief && at < *provenAt)
+                if (provenAt && version > daemon->state && at < *provenAt)
                     ++violations;
             }
         }
@@ -249,7 +248,7 @@
 
 }
 
-// Every daemon has one request in flight at each of so many upstreams.
+// Gives every daemon one request in flight at each of this many upstreams.
 void useUpstreams(Fleet& fleet, uint64_t count)
 {
     fleet.upstreams.clear();
@@ -262,8 +261,8 @@
     }
 }
 
-// The most that any daemon sends, bytes a second.
-double mostBytesPerSecond(Fleet& fleet)
+// Returns the highest send rate of any daemon, measured over ten seconds.
+double maxBytesPerSecond(Fleet& fleet)
 {
     for (auto& daemon : fleet.daemons)
         daemon->sentBytes = 0;
@@ -283,7 +282,7 @@
 
 BOOST_AUTO_TEST_SUITE(StateExchangeTests)
 
-BOOST_AUTO_TEST_CASE(AFewReadsKeepAFleetFresh)
+BOOST_AUTO_TEST_CASE(AFewReadsKeepAFleetCurrent)
 {
     Fleet fleet(3, 20, 1);
     BOOST_TEST(relays(fleet) == 9u);
@@ -296,7 +295,7 @@
     for (auto const& daemon : fleet.daemons)
         reads += daemon->reads;
     BOOST_TEST((oldest(fleet) < Milliseconds(1300)));
-    // One reader in each of three halls, twice a second.
+    // One reader in each of three halls reads twice a second.
     BOOST_TEST(reads - before <= 3u * 2 * 20 + 3);
     BOOST_TEST(fleet.violations == 0u);
 }
@@ -308,19 +307,19 @@
     fleet.change();
     fleet.run(Milliseconds(1500));
     for (auto const& daemon : fleet.daemons)
-        BOOST_TEST(daemon->belief == fleet.store);
+        BOOST_TEST(daemon->state == fleet.store);
 }
 
-BOOST_AUTO_TEST_CASE(ADaemonThatCannotReadTheStoreIsKeptFreshByOthers)
+BOOST_AUTO_TEST_CASE(ADaemonThatCannotReadTheStoreIsKeptCurrentByOthers)
 {
     Fleet fleet(2, 4, 3);
     for (size_t index = 0; index < 7; ++index)
-        fleet.daemons[index]->reachesStore = false;
+        fleet.daemons[index]->canReadStore = false;
     fleet.run(Seconds(20));
     fleet.change();
     fleet.run(Seconds(4));
     for (auto const& daemon : fleet.daemons)
-        BOOST_TEST(daemon->belief == fleet.store);
+        BOOST_TEST(daemon->state == fleet.store);
     BOOST_TEST((oldest(fleet) < Seconds(3)));
     BOOST_TEST(fleet.violations == 0u);
 }
@@ -341,8 +340,8 @@
     BOOST_TEST(fleet.violations == 0u);
 }
 
-// The next relay reads in the place of a reader that is paused, until that answers
-// again; meanwhile no belief of its hall exceeds the bound.
+// While the reader is paused, the next relay reads the store. The state of no daemon in the
+// hall gets older than 2 s meanwhile.
 BOOST_AUTO_TEST_CASE(APausedReaderIsReplacedByTheNextRelay)
 {
     Fleet fleet(1, 24, 11);
@@ -364,7 +363,7 @@
     size_t reads = 0;
     for (auto const& daemon : fleet.daemons)
         reads += daemon->reads;
-    // Eight seconds of one reader, and a little more whenever the paused one is asked again.
+    // One reader for eight seconds, plus a few reads whenever the paused one is queried again.
     BOOST_TEST(reads - before <= 8u * 2 + 8);
     (*reader)->isPaused = false;
     fleet.run(Seconds(7));
@@ -373,7 +372,7 @@
     BOOST_TEST(fleet.violations == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(LoadsReachEveryDaemonAsSums)
+BOOST_AUTO_TEST_CASE(EveryDaemonReceivesTheSumOfLoads)
 {
     Fleet fleet(3, 20, 5);
     for (auto& daemon : fleet.daemons)
@@ -385,9 +384,9 @@
     }
 }
 
-// Many relays and upstreams make the sums rare; they must not be forgotten before
-// the next ones come.
-BOOST_AUTO_TEST_CASE(RareSumsOfOtherRelaysCountUntilTheNext)
+// With many relays and upstreams, sums are sent rarely. They must not expire before the next
+// ones arrive.
+BOOST_AUTO_TEST_CASE(RareSumsOfOtherRelaysDoNotExpireBeforeTheNext)
 {
     Fleet fleet(3, 32, 6);
     useUpstreams(fleet, 120);
@@ -401,9 +400,9 @@
     }
 }
 
-// All daemons of a fleet start at once after a loss of power; only the relays are
-// to read all of the store then.
-BOOST_AUTO_TEST_CASE(AFleetThatStartsAtOnceReadsThroughItsRelays)
+// When all daemons start at once, for example after a power failure, only the readers may read
+// the store.
+BOOST_AUTO_TEST_CASE(OnlyReadersReadTheStoreWhenAFleetStarts)
 {
     Fleet fleet(3, 20, 9);
     fleet.run(Seconds(5));
@@ -412,8 +411,8 @@
     BOOST_TEST((oldest(fleet) < Milliseconds(1300)));
 }
 
-// The relays are gone, or cannot read the store.
-BOOST_AUTO_TEST_CASE(ADaemonThatIsToldNothingReadsItself)
+// The relays are gone, so no daemon gets a confirmation.
+BOOST_AUTO_TEST_CASE(ADaemonWithoutConfirmationsReadsTheStore)
 {
     Fleet fleet(1, 7, 10);
     for (auto& daemon : fleet.daemons)
@@ -423,9 +422,9 @@
         BOOST_TEST((daemon->isPaused || daemon->age.isKnown()));
 }
 
-// A rush that starts in one hall is known in all others while its first requests
-// still run, at the number of daemons and upstreams that the users have grown to.
-BOOST_AUTO_TEST_CASE(ARushInOneHallIsKnownInAllWithinASecondAndAHalf)
+// A load peak that starts in one hall must be known in all others while its first requests
+// still run. The fleet has as many daemons and upstreams as the grown one of the users.
+BOOST_AUTO_TEST_CASE(ALoadPeakInOneHallIsKnownInAllWithinASecondAndAHalf)
 {
     Fleet fleet(3, 29, 7);
     useUpstreams(fleet, 63);
@@ -441,9 +440,9 @@
     }
 }
 
-// The same at the size of the users' large fleet, where each daemon has two requests
-// in flight: with all relays telling one another it took up to five seconds.
-BOOST_AUTO_TEST_CASE(ARushInOneHallIsKnownInAllWithinTwoSecondsInALargeFleet)
+// The same at the size of the users' large fleet, with two requests in flight per daemon.
+// Guards against sums that every relay sends to every other: that took up to five seconds.
+BOOST_AUTO_TEST_CASE(ALoadPeakInOneHallIsKnownInAllWithinTwoSecondsInALargeFleet)
 {
     Fleet fleet(5, 59, 13);
     for (uint64_t upstream = 2; upstream <= 160; ++upstream)
@@ -466,11 +465,11 @@
     BOOST_TEST_MESSAGE("the oldest counts are " << asSeconds(oldestCounts) << " s old, in the mean over their requests");
     BOOST_TEST((oldestCounts < Milliseconds(1300)));
     BOOST_TEST((oldestCounts > Milliseconds(300)));
-    BOOST_TEST(mostBytesPerSecond(fleet) < controlBudget);
+    BOOST_TEST(maxBytesPerSecond(fleet) < maxControlBytesPerSecond);
 }
 
-// A relay that is gone without a word stays registered for minutes.
-BOOST_AUTO_TEST_CASE(AHallsSumReachesOthersAlthoughItsRelayIsGone)
+// A relay that stops without deregistering stays registered for minutes.
+BOOST_AUTO_TEST_CASE(AHallsSumReachesOthersAfterItsRelayHasStopped)
 {
     Fleet fleet(3, 20, 14);
     for (auto& daemon : fleet.daemons)
@@ -485,8 +484,8 @@
     }
 }
 
-// Each daemon that comes or goes would else cost a call of every other one.
-BOOST_AUTO_TEST_CASE(ChangesOfTheRegistryReachAllWhileOnlyReadersReadThem)
+// Otherwise each daemon that joins or leaves would cost one call per daemon.
+BOOST_AUTO_TEST_CASE(RegistryChangesReachAllWhileOnlyReadersReadThem)
 {
     Fleet fleet(3, 30, 15);
     fleet.run(Seconds(6));
@@ -503,14 +502,14 @@
     }
 }
 
-// An outage of the store leaves all without proofs; the registry is the least that
-// they miss then.
-BOOST_AUTO_TEST_CASE(WhileTheStoreIsAwayOnlyReadersAskForTheRegistry)
+// In an outage of the store no daemon gets confirmations. They must not all read the registry
+// as well before the outage has lasted for long.
+BOOST_AUTO_TEST_CASE(InAShortOutageOfTheStoreOnlyReadersNeedTheRegistry)
 {
     Fleet fleet(3, 30, 17);
     fleet.run(Seconds(6));
     for (auto& daemon : fleet.daemons)
-        daemon->reachesStore = false;
+        daemon->canReadStore = false;
     fleet.run(Seconds(8));
     for (auto const& daemon : fleet.daemons)
         BOOST_TEST((daemon->exchange->isReader() || !daemon->exchange->needsRegistry(fleet.now())));
@@ -519,8 +518,8 @@
         BOOST_TEST(daemon->exchange->needsRegistry(fleet.now()));
 }
 
-// A daemon that missed more than a message holds reads it once.
-BOOST_AUTO_TEST_CASE(ADaemonThatMissedManyChangesOfTheRegistryReadsThem)
+// A daemon that missed more registry changes than a message holds reads the registry.
+BOOST_AUTO_TEST_CASE(ADaemonThatMissedManyRegistryChangesReadsTheRegistry)
 {
     Fleet fleet(1, 24, 16);
     fleet.run(Seconds(6));
@@ -537,130 +536,130 @@
     BOOST_TEST((*paused)->registryReads <= 2u);
 }
 
-BOOST_AUTO_TEST_CASE(ControlTrafficStaysWithinItsBudgetAtEverySize)
+BOOST_AUTO_TEST_CASE(ControlTrafficStaysWithinItsLimitAtEverySize)
 {
     struct Size {
         size_t halls;
         size_t perHall;
         uint64_t upstreams;
     };
-    // Today, grown, a sweep's and the one aimed at.
+    // The current fleet, the grown one, that of a measurement series and the target size.
     for (auto const size : { Size { 3, 2, 12 }, Size { 3, 29, 63 }, Size { 3, 100, 220 }, Size { 6, 55, 880 } }) {
         Fleet fleet(size.halls, size.perHall, 8);
         useUpstreams(fleet, size.upstreams);
         fleet.run(Seconds(5));
-        auto const most = mostBytesPerSecond(fleet);
+        auto const most = maxBytesPerSecond(fleet);
         BOOST_TEST_MESSAGE(size.halls * size.perHall << " daemons, " << size.upstreams << " upstreams: " << most << " bytes/s");
-        BOOST_TEST(most < controlBudget);
+        BOOST_TEST(most < maxControlBytesPerSecond);
     }
 }
 
-// A daemon that reaches nobody for minutes, as where regions lose each other.
-BOOST_AUTO_TEST_CASE(ADaemonThatIsCutOffAsksWithinItsBudget)
+// A daemon that reaches no other for minutes, for example when regions are partitioned.
+BOOST_AUTO_TEST_CASE(AnIsolatedDaemonStaysWithinTheTrafficLimit)
 {
     Fleet fleet(6, 20, 12);
     useUpstreams(fleet, 880);
     fleet.run(Seconds(5));
-    auto& alone = *fleet.daemons.front();
+    auto& isolated = *fleet.daemons.front();
     for (auto& daemon : fleet.daemons)
-        daemon->isPaused = daemon->id != alone.id;
-    alone.reachesStore = false;
+        daemon->isPaused = daemon->id != isolated.id;
+    isolated.canReadStore = false;
     fleet.run(Seconds(120));
-    BOOST_TEST(mostBytesPerSecond(fleet) < controlBudget);
+    BOOST_TEST(maxBytesPerSecond(fleet) < maxControlBytesPerSecond);
 }
 
-BOOST_AUTO_TEST_CASE(StampsOfAnEarlierProcessProveNothing)
+BOOST_AUTO_TEST_CASE(ResponsesToAnEarlierProcessAreIgnored)
 {
     std::optional<Instant> provenAt;
     StateExchange::Hooks hooks;
     hooks.send = [](VMId, std::string const&) {};
-    hooks.differs = [](VMId, auto const&, auto) {};
-    hooks.beliefs.summary = [] { return StateSummary { 1, 1 }; };
-    hooks.beliefs.provenAt = [&] { return provenAt; };
-    hooks.beliefs.confirmed = [&](Instant at) { provenAt = at; };
-    hooks.beliefs.changesSince = [](uint64_t) { return std::vector<UpstreamChange> {}; };
-    hooks.beliefs.applyChanges = [](auto const&, Instant) {};
-    hooks.beliefs.registrySince = [](uint64_t) { return std::optional<std::vector<RegistryRecord>> {}; };
-    hooks.beliefs.applyRegistry = [](auto const&, uint64_t) {};
-    hooks.beliefs.upstreamsOf = [](uint64_t) { return std::make_shared<UpstreamList const>(); };
-    hooks.beliefs.ownInFlight = [] { return std::vector<UpstreamInFlight> {}; };
-    hooks.beliefs.othersInFlight = [](auto const&, Microseconds) {};
+    hooks.stateDiffers = [](VMId, auto const&, auto) {};
+    hooks.localState.summary = [] { return StateSummary { 1, 1 }; };
+    hooks.localState.provenAt = [&] { return provenAt; };
+    hooks.localState.confirm = [&](Instant at) { provenAt = at; };
+    hooks.localState.upstreamChangesSince = [](uint64_t) { return std::vector<UpstreamChange> {}; };
+    hooks.localState.applyUpstreamChanges = [](auto const&, Instant) {};
+    hooks.localState.registryChangesSince = [](uint64_t) { return std::optional<std::vector<RegistryRecord>> {}; };
+    hooks.localState.applyRegistryChanges = [](auto const&, uint64_t) {};
+    hooks.localState.upstreamListForHash = [](uint64_t) { return std::make_shared<UpstreamList const>(); };
+    hooks.localState.ownInFlight = [] { return std::vector<UpstreamInFlight> {}; };
+    hooks.localState.setOthersInFlight = [](auto const&, Microseconds) {};
     StateExchange exchange({ VMId(1), HallId(1) }, 42, {}, hooks);
     exchange.setPeers({ { VMId(2), HallId(1) } });
     Instant const now { Seconds(100) };
-    StateMessage answer { StateMessage::Kind::Answer, 99000000, 41, { 1, 1 }, {}, {}, {}, {} };
+    StateMessage answer { StateMessage::Kind::Response, 99000000, 41, { 1, 1 }, {}, {}, {}, {} };
     answer.emptiedHalls.emplace();
     BOOST_TEST(exchange.receive(VMId(2), answer.encode(), now).has_value());
     BOOST_TEST(!provenAt.has_value());
-    answer.askingProcess = 42;
-    // A version that knows no orders to empty halls cannot prove that there are none.
-    auto const ofEarlierVersion = [&] {
+    answer.requesterProcess = 42;
+    // A version that doesn't support orders to empty halls can't confirm that there are none.
+    auto const fromEarlierVersion = [&] {
         auto earlier = answer;
         earlier.emptiedHalls.reset();
         return earlier.encode();
     }();
-    BOOST_TEST(exchange.receive(VMId(2), ofEarlierVersion, now).has_value());
+    BOOST_TEST(exchange.receive(VMId(2), fromEarlierVersion, now).has_value());
     BOOST_TEST(!provenAt.has_value());
     BOOST_TEST(exchange.receive(VMId(2), answer.encode(), now).has_value());
     BOOST_TEST((*provenAt == Instant(Seconds(99))));
 }
 
-// Upstreams come and go by the second during a release, and a daemon learns of each
-// with its next proof: until then it can only read counts by the list before.
-BOOST_AUTO_TEST_CASE(ADaemonIsToldCountsByTheListThatItKnows)
+// During a release the list of upstreams changes every second, and a daemon learns of a change
+// with its next confirmation. Until then it can only decode counts of its previous list.
+BOOST_AUTO_TEST_CASE(CountsArePackedWithTheListOfTheReceiver)
 {
     std::vector<std::pair<VMId, StateMessage>> sent;
     StateExchange::Hooks hooks;
     hooks.send = [&](VMId to, std::string const& bytes) { sent.emplace_back(to, StateMessage::decode(bytes).value()); };
-    hooks.differs = [](VMId, auto const&, auto) {};
-    hooks.beliefs.summary = [] { return StateSummary { 1, 3 }; };
-    hooks.beliefs.provenAt = [] { return std::optional<Instant>(Seconds(1)); };
-    hooks.beliefs.confirmed = [](Instant) {};
-    hooks.beliefs.changesSince = [](uint64_t) { return std::vector<UpstreamChange> {}; };
-    hooks.beliefs.applyChanges = [](auto const&, Instant) {};
-    hooks.beliefs.registrySince = [](uint64_t) { return std::optional<std::vector<RegistryRecord>> {}; };
-    hooks.beliefs.applyRegistry = [](auto const&, uint64_t) {};
-    // The list of each hash has as many upstreams, of which the last is the one at work.
-    hooks.beliefs.upstreamsOf = [](uint64_t hash) {
+    hooks.stateDiffers = [](VMId, auto const&, auto) {};
+    hooks.localState.summary = [] { return StateSummary { 1, 3 }; };
+    hooks.localState.provenAt = [] { return std::optional<Instant>(Seconds(1)); };
+    hooks.localState.confirm = [](Instant) {};
+    hooks.localState.upstreamChangesSince = [](uint64_t) { return std::vector<UpstreamChange> {}; };
+    hooks.localState.applyUpstreamChanges = [](auto const&, Instant) {};
+    hooks.localState.registryChangesSince = [](uint64_t) { return std::optional<std::vector<RegistryRecord>> {}; };
+    hooks.localState.applyRegistryChanges = [](auto const&, uint64_t) {};
+    // The hash of a list is the number of its upstreams.
+    hooks.localState.upstreamListForHash = [](uint64_t hash) {
         auto list = std::make_shared<UpstreamList>();
         for (uint64_t number = 1; number <= hash; ++number)
             list->push_back(UpstreamId(number));
         return list;
     };
-    hooks.beliefs.ownInFlight = [] { return std::vector<UpstreamInFlight> { { UpstreamId(1), 5 }, { UpstreamId(3), 2 } }; };
-    hooks.beliefs.othersInFlight = [](auto const&, Microseconds) {};
-    // The only relay of its hall: every other daemon is of another one.
+    hooks.localState.ownInFlight = [] { return std::vector<UpstreamInFlight> { { UpstreamId(1), 5 }, { UpstreamId(3), 2 } }; };
+    hooks.localState.setOthersInFlight = [](auto const&, Microseconds) {};
+    // The only daemon of its hall, and so its relay. The other daemon is of another hall.
     StateExchange relay({ VMId(1), HallId(1) }, 42, {}, hooks);
     relay.setPeers({ { VMId(2), HallId(2) } });
     StateMessage const own { StateMessage::Kind::OwnLoads, 0, 0, { 1, 2 }, std::string("\0\1\7", 3), {}, {}, {} };
     BOOST_TEST(relay.receive(VMId(2), own.encode(), Instant(Seconds(100))).has_value());
     relay.tick(Instant(Seconds(100)));
-    auto const told = std::find_if(sent.begin(), sent.end(), [](auto const& each) { return each.second.kind == StateMessage::Kind::OthersLoads; });
-    BOOST_REQUIRE((told != sent.end()));
-    BOOST_TEST((told->first == VMId(2)));
-    BOOST_TEST(told->second.summary.upstreamsHash == 2u);
-    auto const counts = unpackCounts(*hooks.beliefs.upstreamsOf(2), told->second.inFlight);
+    auto const sentToGroup = std::find_if(sent.begin(), sent.end(), [](auto const& each) { return each.second.kind == StateMessage::Kind::OthersLoads; });
+    BOOST_REQUIRE((sentToGroup != sent.end()));
+    BOOST_TEST((sentToGroup->first == VMId(2)));
+    BOOST_TEST(sentToGroup->second.summary.upstreamsHash == 2u);
+    auto const counts = unpackCounts(*hooks.localState.upstreamListForHash(2), sentToGroup->second.inFlight);
     BOOST_REQUIRE(counts.has_value());
-    // What the relay has itself, and nothing of what the daemon told.
+    // The relay's own counts, without those that the daemon itself has sent.
     BOOST_REQUIRE(counts->size() == 1u);
     BOOST_TEST((counts->front().upstream == UpstreamId(1)));
     BOOST_TEST(counts->front().count == 5u);
 }
 
-// Delays, losses, pauses, cuts and changes in any order: no belief is ever taken
-// for newer than it is.
-BOOST_AUTO_TEST_CASE(NoBeliefIsTakenForNewerThanItIs)
+// Delays, losses, pauses, partitions and changes in any order: no daemon may consider its
+// state more recent than it is.
+BOOST_AUTO_TEST_CASE(NoStateIsConsideredMoreRecentThanItIs)
 {
     BOOST_TEST(rc::check("under any faults", [](uint64_t seed) {
         std::mt19937_64 random(seed);
         Fleet fleet(2, 5, seed);
         for (int round = 0; round < 25; ++round) {
-            fleet.mostDelay = Milliseconds(1 + random() % 900);
-            fleet.lossShare = static_cast<unsigned>(random() % 40);
-            fleet.cutHall = random() % 4 ? std::nullopt : std::optional(HallId(1));
+            fleet.maxDelay = Milliseconds(1 + random() % 900);
+            fleet.lossPercent = static_cast<unsigned>(random() % 40);
+            fleet.partitionedHall = random() % 4 ? std::nullopt : std::optional(HallId(1));
             for (auto& daemon : fleet.daemons) {
                 daemon->isPaused = random() % 5 == 0;
-                daemon->reachesStore = random() % 3 != 0;
+                daemon->canReadStore = random() % 3 != 0;
             }
             if (random() % 2)
                 fleet.change();
@@ -670,8 +669,8 @@
     }));
 }
 
-// While a fleet is restarted daemons of both versions speak with each other.
-BOOST_AUTO_TEST_CASE(ARecordWithoutAStartIsWrittenAsBeforeThereWereAny)
+// During a rolling upgrade, daemons of both versions exchange records.
+BOOST_AUTO_TEST_CASE(ARecordWithoutAnIncarnationHasTheEarlierEncoding)
 {
     MessageWriter old;
     for (auto const* text : { "i-1", "chat", "10.0.0.1:80", "north" })
@@ -694,7 +693,7 @@
 
 BOOST_AUTO_TEST_CASE(DamagedMessagesAreRefused)
 {
-    StateMessage message { StateMessage::Kind::Answer, 5, 6, { 7, 8 }, std::string("\0\3\7", 3), Milliseconds(40), { { "gone", {} }, { "i-1", UpstreamRecord { "i-1", "chat", "10.0.0.1:80", "north", 4, true, Milliseconds(5) } } }, std::vector<RegistryRecord> { { "one", "text" }, { "two", {} } } };
+    StateMessage message { StateMessage::Kind::Response, 5, 6, { 7, 8 }, std::string("\0\3\7", 3), Milliseconds(40), { { "gone", {} }, { "i-1", UpstreamRecord { "i-1", "chat", "10.0.0.1:80", "north", 4, true, Milliseconds(5) } } }, std::vector<RegistryRecord> { { "one", "text" }, { "two", {} } } };
     auto const bytes = message.encode();
     auto const decoded = StateMessage::decode(bytes);
     BOOST_REQUIRE(decoded.has_value());
