--- a/Meta/Measure/MembershipMeasurement.cpp
+++ b/Meta/Measure/MembershipMeasurement.cpp
@@ -49,7 +49,7 @@
             member.membership = std::make_unique<Membership>(member.id, member.hall, Incarnation(incarnation), std::move(hooks));
             member.isAlive = true;
             for (auto const& other : m_members)
-                member.membership->addListed(other.id, other.hall, m_events.now());
+                member.membership->addMember(other.id, other.hall, m_events.now());
         }
 
         void kill(size_t index) { m_members[index].isAlive = false; }
@@ -177,8 +177,8 @@
         auto const returned = fleet.secondsUntilAll(subject, [&](Membership const& other) { return other.stateOf(id) == MemberState::Alive; });
         // One daemon alone reads in the list that an upstream is leaving.
         UpstreamId const upstream { 77 };
-        fleet.at(0).addUpstreamNews({ upstream, 5, UpstreamState::Leaving });
-        auto const upstreamLeaving = fleet.secondsUntilAll(0, [&](Membership const& other) { return other.upstreamNews(upstream) != nullptr; });
+        fleet.at(0).addUpstreamUpdate({ upstream, 5, UpstreamState::Leaving });
+        auto const upstreamLeaving = fleet.secondsUntilAll(0, [&](Membership const& other) { return other.lastUpstreamUpdate(upstream) != nullptr; });
         std::vector<double> heard;
         for (uint64_t revision = 1; revision <= 20; ++revision) {
             auto const cut = revision % members;
--- a/Services/stagepostd/Daemon.cpp
+++ b/Services/stagepostd/Daemon.cpp
@@ -125,13 +125,13 @@
     auto const version = m_vms.list().version();
     for (auto const& entry : changed) {
         if (entry.state == VMState::Gone) {
-            m_membership.removeListed(entry.id());
-            m_membership.addUpstreamNews({ entry.upstreamId(), version, UpstreamState::Gone });
+            m_membership.removeMember(entry.id());
+            m_membership.addUpstreamUpdate({ entry.upstreamId(), version, UpstreamState::Gone });
         } else if (entry.role == VMRole::Entry) {
-            m_membership.addListed(entry.id(), entry.hallId(), m_loop.now());
+            m_membership.addMember(entry.id(), entry.hallId(), m_loop.now());
         } else {
             auto const state = entry.state == VMState::Leaving ? UpstreamState::Leaving : UpstreamState::Live;
-            m_membership.addUpstreamNews({ entry.upstreamId(), version, state });
+            m_membership.addUpstreamUpdate({ entry.upstreamId(), version, state });
         }
     }
     m_isViewStale = true;
--- a/Services/stagepostd/FleetView.cpp
+++ b/Services/stagepostd/FleetView.cpp
@@ -13,7 +13,7 @@
             return false;
         if (entry.role == VMRole::Entry)
             return membership.stateOf(entry.id()) != MemberState::Dead;
-        auto const* news = membership.upstreamNews(entry.upstreamId());
+        auto const* news = membership.lastUpstreamUpdate(entry.upstreamId());
         return !news || news->state != UpstreamState::Gone;
     }
 
@@ -23,7 +23,7 @@
             return true;
         if (entry.role == VMRole::Entry)
             return membership.stateOf(entry.id()) == MemberState::Leaving;
-        auto const* news = membership.upstreamNews(entry.upstreamId());
+        auto const* news = membership.lastUpstreamUpdate(entry.upstreamId());
         return news && news->state == UpstreamState::Leaving;
     }
 
--- a/Services/stagepostd/Gateway.cpp
+++ b/Services/stagepostd/Gateway.cpp
@@ -61,7 +61,7 @@
     , m_readyServer(
           loop, {}, [this](std::shared_ptr<Exchange> const& exchange) { handleReady(*exchange); }, [this](Refusal const& refusal) { return refuse(refusal); })
     , m_ticker(loop)
-    , m_absence(m_metrics, { tickInterval, m_options.directory.outage })
+    , m_absence(m_metrics, { tickInterval, m_options.directory.outageThreshold })
     , m_drain(loop, m_server)
 {
 }
@@ -71,16 +71,16 @@
     GatewayPeers::Hooks hooks;
     hooks.beliefs.summary = [this] { return summary(); };
     hooks.beliefs.provenAt = [this] { return provenAt(); };
-    hooks.beliefs.confirmed = [this](Instant provenAt) { confirmed(provenAt); };
-    hooks.beliefs.changesSince = [this](uint64_t hash) { return m_directory.changesSince(hash).value_or(std::vector<UpstreamChange> {}); };
-    hooks.beliefs.applyChanges = [this](auto const& changes, Instant provenAt) { applyChanges("changes", changes, provenAt); };
-    hooks.beliefs.registrySince = m_registry.since;
-    hooks.beliefs.applyRegistry = m_registry.take;
+    hooks.beliefs.confirm = [this](Instant provenAt) { confirmed(provenAt); };
+    hooks.beliefs.upstreamChangesSince = [this](uint64_t hash) { return m_directory.changesSince(hash).value_or(std::vector<UpstreamChange> {}); };
+    hooks.beliefs.applyUpstreamChanges = [this](auto const& changes, Instant provenAt) { applyChanges("changes", changes, provenAt); };
+    hooks.beliefs.registryChangesSince = m_registry.since;
+    hooks.beliefs.applyRegistryChanges = m_registry.take;
     hooks.beliefs.emptiedHalls = [this] { return m_emptiedHalls.state(); };
-    hooks.beliefs.takeEmptiedHalls = [this](auto const& told, std::optional<Instant> provenAt) { takeToldHalls(told, provenAt); };
-    hooks.beliefs.upstreamsOf = [this](uint64_t hash) { return m_directory.listAt(hash); };
+    hooks.beliefs.applyEmptiedHalls = [this](auto const& told, std::optional<Instant> provenAt) { takeToldHalls(told, provenAt); };
+    hooks.beliefs.upstreamListForHash = [this](uint64_t hash) { return m_directory.listForHash(hash); };
     hooks.beliefs.ownInFlight = [this] { return ownInFlight(); };
-    hooks.beliefs.othersInFlight = [this](auto const& others, Microseconds age) { takeOthersInFlight(others, age); };
+    hooks.beliefs.setOthersInFlight = [this](auto const& others, Microseconds age) { takeOthersInFlight(others, age); };
     hooks.state = [this](StateSummary const& known) { return state(known); };
     hooks.wantsState = [this](StateSummary const& other) { return wantsState(other); };
     hooks.takeState = [this](GatewayState const& state, std::optional<Instant> provenAt) { takeState(state, provenAt); };
@@ -122,7 +122,7 @@
 {
     auto const before = m_emptiedHalls.state().halls;
     if (isAfterReturn)
-        m_emptiedHalls.replaceAfterReturn(orders, position, readSentAt);
+        m_emptiedHalls.replaceAfterRestore(orders, position, readSentAt);
     else if (isWhole)
         m_emptiedHalls.replace(orders, position, readSentAt);
     else
@@ -134,7 +134,7 @@
 void Gateway::takeToldHalls(EmptiedHallsState const& told, std::optional<Instant> provenAt)
 {
     auto const before = m_emptiedHalls.state().halls;
-    m_emptiedHalls.takeTold(told, provenAt);
+    m_emptiedHalls.applyPeerState(told, provenAt);
     if (before != m_emptiedHalls.state().halls)
         m_peers.changed(m_loop.now());
 }
@@ -273,7 +273,7 @@
     auto const now = m_loop.now();
     m_directory.confirm(provenAt);
     if (isAfterReturn)
-        m_directory.replaceAfterReturn(all, provenAt, now);
+        m_directory.replaceAfterRestore(all, provenAt, now);
     else
         m_directory.replace(all, now);
     noteUpstreams(source, hashBefore);
@@ -308,7 +308,7 @@
 void Gateway::confirmed(Instant provenAt)
 {
     m_directory.confirm(provenAt);
-    m_directory.confirmWhole();
+    m_directory.markComplete();
     m_tableAge.confirm(provenAt);
     m_emptiedHalls.confirm(provenAt);
     // What the store had more than was known here is no newer configuration.
--- a/Services/stagepostd/GatewayPeers.cpp
+++ b/Services/stagepostd/GatewayPeers.cpp
@@ -94,11 +94,11 @@
 {
     StateExchange::Hooks hooks;
     hooks.send = [this](VMId to, std::string const& body) { send(to, PeerMessageKind::State, body); };
-    hooks.differs = [this](VMId from, StateSummary const& summary, std::optional<Instant> provenAt) {
+    hooks.stateDiffers = [this](VMId from, StateSummary const& summary, std::optional<Instant> provenAt) {
         if (m_hooks.wantsState(summary))
             fetch(from, provenAt);
     };
-    hooks.beliefs = m_hooks.beliefs;
+    hooks.localState = m_hooks.beliefs;
     return hooks;
 }
 
@@ -107,7 +107,7 @@
     CrashExchange::Hooks hooks;
     hooks.send = [this](VMId to, std::string const& body) { send(to, PeerMessageKind::Crashes, body); };
     hooks.relays = [this] { return m_exchange->relays(); };
-    hooks.askers = [this] { return m_exchange->askers(); };
+    hooks.askers = [this] { return m_exchange->recentRequesters(); };
     return hooks;
 }
 
@@ -186,13 +186,13 @@
 void GatewayPeers::proven(Instant now)
 {
     if (m_exchange)
-        m_exchange->proven(now);
+        m_exchange->localStateConfirmed(now);
 }
 
 void GatewayPeers::changed(Instant now)
 {
     if (m_exchange)
-        m_exchange->changed(now);
+        m_exchange->localStateChanged(now);
 }
 
 void GatewayPeers::crashSeen(RequestFingerprint request, Instant now)
--- a/Services/stagepostd/GatewayPeers.h
+++ b/Services/stagepostd/GatewayPeers.h
@@ -39,7 +39,7 @@
     static constexpr char const* statePath = "/internal/state";
 
     struct Hooks {
-        StateExchange::Beliefs beliefs;
+        StateExchange::LocalState beliefs;
         // What leads from what another daemon has to the own beliefs.
         std::function<GatewayState(StateSummary const& known)> state;
         // Another daemon believes something else. Whether its state is to be asked
--- a/Specifications/Freshness.pml
+++ b/Specifications/Freshness.pml
@@ -71,7 +71,7 @@
     od
 }
 
-/* StateExchange::receive of an ask, and StateExchange::proven. */
+/* StateExchange::receive of an ask, and StateExchange::localStateConfirmed. */
 active proctype Answerer() {
     byte stamp;
     byte arrivedAt;
@@ -90,7 +90,7 @@
     od
 }
 
-/* StateExchange::ask and StateExchange::takeAnswer. */
+/* StateExchange::queryPeer and StateExchange::handleResponse. */
 active proctype Asker() {
     byte stamp;
     byte version;
--- a/Tests/platform/TestPlatformOptions.cpp
+++ b/Tests/platform/TestPlatformOptions.cpp
@@ -30,7 +30,7 @@
     auto const quickConfiguration = parsed({ "--leave-bound-ms", "2000", "--config-bound-ms", "1000" });
     BOOST_TEST((quickConfiguration.readInterval == Milliseconds(250)));
     BOOST_TEST((quickConfiguration.gateway.exchange.fallbackAge == Milliseconds(800)));
-    BOOST_TEST((quickConfiguration.gateway.directory.outage == Milliseconds(2000)));
+    BOOST_TEST((quickConfiguration.gateway.directory.outageThreshold == Milliseconds(2000)));
     auto const quickLeaving = parsed({ "--leave-bound-ms", "400", "--config-bound-ms", "4000" });
     BOOST_TEST((quickLeaving.readInterval == Milliseconds(100)));
 }
@@ -41,7 +41,7 @@
 {
     auto const exchange = parsed({}).gateway.exchange;
     auto const readInterval = parsed({}).readInterval;
-    BOOST_TEST((exchange.askInterval + exchange.relayAskInterval + 2 * readInterval <= exchange.fallbackAge));
+    BOOST_TEST((exchange.queryInterval + exchange.relayQueryInterval + 2 * readInterval <= exchange.fallbackAge));
 }
 
 BOOST_AUTO_TEST_CASE(KeysHaveABoundOnlyWhereOneIsGiven)
