--- a/Libraries/LibRouting/AdmissionCap.h
+++ b/Libraries/LibRouting/AdmissionCap.h
@@ -6,12 +6,12 @@
 
 namespace Stagepost {
 
-// The most requests that one upstream is given, from the pool's mean load. It
-// stays a margin below the promised multiple, since the mean can fall while the
-// requests that were admitted are still there.
+// Computes the maximum number of in-flight requests for one upstream from the pool's
+// mean load. The result stays admissionMargin below loadMultiple, because the mean can
+// fall while admitted requests are still running.
 size_t admissionCap(PoolPolicy const&, double meanLoad);
 
-// The same for an upstream that came back some time ago and grows to its share.
+// Same as admissionCap(), but ramps up linearly during the slow start after a return.
 size_t rampedCap(PoolPolicy const&, double meanLoad, Microseconds sinceReturn);
 
 }
--- a/Libraries/LibRouting/PlacementRequest.h
+++ b/Libraries/LibRouting/PlacementRequest.h
@@ -13,29 +13,29 @@
     Bulk,
 };
 
-// What the decisions know of one request.
+// The properties of a request that placement and admission depend on.
 struct PlacementRequest {
     PoolId pool;
     ChatId chat;
     OrganisationId organisation;
     Priority priority { Priority::Bulk };
-    // The earlier turns of the chat, which an upstream may still hold.
+    // Length of the chat's earlier turns, which an upstream may still have cached.
     uint32_t contextTokens { 0 };
-    // The upstream that the caller says has answered this chat before.
+    // The upstream that answered this chat before, as stated by the caller.
     std::optional<UpstreamId> hint;
-    // Upstreams that have failed this request already.
+    // Upstreams on which this request has already failed.
     std::vector<UpstreamId> excluded;
-    // The latest time for the request to start.
+    // Latest time at which the request may start.
     Instant deadline;
 };
 
-// The right to have one request in flight at one upstream.
+// Permission to have one request in flight at one upstream.
 struct Lease {
     LeaseId id;
     UpstreamId upstream;
     PoolId pool;
     VMId owner;
-    // Whether the owner believes that the upstream holds the chat's context.
+    // Whether the upstream holds the chat's context, according to the owner.
     bool holdsContext { false };
 };
 
--- a/Libraries/LibRouting/PoolPolicy.h
+++ b/Libraries/LibRouting/PoolPolicy.h
@@ -5,29 +5,30 @@
 
 namespace Stagepost {
 
-// The settings of one pool of upstreams, as far as routing needs them.
+// The routing settings of one pool of upstreams.
 struct PoolPolicy {
-    // No upstream carries more than this multiple of the pool's mean load.
+    // Upper bound on one upstream's load, as a multiple of the pool's mean load.
     double loadMultiple { 1.25 };
-    // How far below the multiple admission stops, because the mean can fall.
+    // Fraction by which admission stays below loadMultiple, because the mean can fall
+    // while admitted requests are still running.
     double admissionMargin { 0.05 };
-    // Admitted whatever the mean is, or an empty pool would never start.
-    size_t leastCap { 8 };
-    size_t mostInFlight { 256 };
-    // The places below the cap that are kept for chats whose context is there, in
-    // square roots of the mean load, which is how much loads spread by chance.
+    // Lower bound on the cap whatever the mean load is, so that an idle pool can start.
+    size_t minCap { 8 };
+    size_t maxInFlight { 256 };
+    // Slots below the cap that are reserved for chats whose context the upstream holds,
+    // in units of sqrt(mean load), the standard deviation of randomly distributed loads.
     double newChatReserve { 0.5 };
-    // How many upstreams of its order a request tries.
+    // Number of upstreams that a request tries, in the chat's rendezvous order.
     size_t candidates { 6 };
     size_t queueLength { 512 };
-    // The least share of places that goes to waiting bulk work.
+    // Minimum share of freed slots that goes to queued bulk requests.
     double bulkShare { 0.1 };
-    // The time in which a returned upstream grows to its full share.
+    // Slow-start time of an upstream after its return, until it gets its full cap.
     Microseconds returnRamp { 10000000 };
     size_t breakerFailures { 5 };
     Microseconds breakerPause { 1000000 };
-    // What recomputing one token of lost context costs; a request waits at the
-    // upstream that holds its context for as long as recomputing it would take.
+    // Time to recompute one token of lost context. A request queues at the upstream
+    // that holds its context for at most the time that recomputing it would take.
     Microseconds recomputePerToken { 200 };
 };
 
