--- a/Libraries/LibRouting/FairQueue.cpp
+++ b/Libraries/LibRouting/FairQueue.cpp
@@ -17,11 +17,11 @@
 void FairQueue::push(WaitingRequest request)
 {
     auto& level = m_levels[levelIndex(request.priority)];
-    auto& line = level.lines[request.organisation];
-    line.weight = request.weight;
-    if (line.requests.empty())
-        line.due = std::max(line.due, level.virtualTime);
-    line.requests.push_back(request);
+    auto& flow = level.flows[request.organisation];
+    flow.weight = request.weight;
+    if (flow.requests.empty())
+        flow.startTag = std::max(flow.startTag, level.virtualTime);
+    flow.requests.push_back(request);
     ++level.size;
 }
 
@@ -45,19 +45,19 @@
 {
     if (!level.size)
         return {};
-    auto next = level.lines.end();
-    for (auto line = level.lines.begin(); line != level.lines.end(); ++line) {
-        if (next == level.lines.end() || line->second.due < next->second.due)
-            next = line;
+    auto next = level.flows.end();
+    for (auto flow = level.flows.begin(); flow != level.flows.end(); ++flow) {
+        if (next == level.flows.end() || flow->second.startTag < next->second.startTag)
+            next = flow;
     }
-    auto& line = next->second;
-    auto const request = line.requests.front();
-    line.requests.pop_front();
-    level.virtualTime = line.due;
-    line.due += 1 / line.weight;
+    auto& flow = next->second;
+    auto const request = flow.requests.front();
+    flow.requests.pop_front();
+    level.virtualTime = flow.startTag;
+    flow.startTag += 1 / flow.weight;
     --level.size;
-    if (line.requests.empty())
-        level.lines.erase(next);
+    if (flow.requests.empty())
+        level.flows.erase(next);
     return request;
 }
 
@@ -66,14 +66,14 @@
 {
     std::vector<WaitingRequest> removed;
     for (auto& level : m_levels) {
-        for (auto entry = level.lines.begin(); entry != level.lines.end();) {
-            auto& requests = entry->second.requests;
+        for (auto flow = level.flows.begin(); flow != level.flows.end();) {
+            auto& requests = flow->second.requests;
             for (auto const& request : requests) {
                 if (matches(request))
                     removed.push_back(request);
             }
             level.size -= std::erase_if(requests, matches);
-            entry = requests.empty() ? level.lines.erase(entry) : std::next(entry);
+            flow = requests.empty() ? level.flows.erase(flow) : std::next(flow);
         }
     }
     return removed;
@@ -88,10 +88,10 @@
 {
     if (!size())
         return {};
-    return removeIf([&](auto const& request) { return request.until <= now; });
+    return removeIf([&](auto const& request) { return request.expiresAt <= now; });
 }
 
-void FairQueue::removeEntries(std::function<bool(VMId)> const& isGone)
+void FairQueue::removeRequestsOfEntries(std::function<bool(VMId)> const& isGone)
 {
     removeIf([&](auto const& request) { return isGone(request.entry); });
 }
@@ -99,26 +99,26 @@
 bool FairQueue::contains(LeaseId lease) const
 {
     for (auto const& level : m_levels) {
-        for (auto const& [organisation, line] : level.lines) {
-            if (std::any_of(line.requests.begin(), line.requests.end(), [&](auto const& request) { return request.lease == lease; }))
+        for (auto const& [organisation, flow] : level.flows) {
+            if (std::any_of(flow.requests.begin(), flow.requests.end(), [&](auto const& request) { return request.lease == lease; }))
                 return true;
         }
     }
     return false;
 }
 
-// In its own line everybody is ahead; of another line, as many as it gets served
-// by weight until this request's turn.
-size_t FairQueue::ahead(Priority priority, OrganisationId organisation, double weight) const
+// Counts all requests of the organisation's own flow. Of each other flow, counts as many
+// as its weight lets it serve in the meantime. For a bulk request, counts all urgent ones.
+size_t FairQueue::countAhead(Priority priority, OrganisationId organisation, double weight) const
 {
     auto const& level = m_levels[levelIndex(priority)];
-    auto const own = level.lines.find(organisation);
-    auto const ownLength = own == level.lines.end() ? 0 : own->second.requests.size();
-    auto const rounds = static_cast<double>(ownLength + 1) / weight;
-    size_t total = ownLength;
-    for (auto const& [other, line] : level.lines) {
+    auto const own = level.flows.find(organisation);
+    auto const ownFlowLength = own == level.flows.end() ? 0 : own->second.requests.size();
+    auto const rounds = static_cast<double>(ownFlowLength + 1) / weight;
+    size_t total = ownFlowLength;
+    for (auto const& [other, flow] : level.flows) {
         if (other != organisation)
-            total += std::min(line.requests.size(), static_cast<size_t>(std::ceil(rounds * line.weight)));
+            total += std::min(flow.requests.size(), static_cast<size_t>(std::ceil(rounds * flow.weight)));
     }
     if (priority == Priority::Bulk)
         total += m_levels[levelIndex(Priority::Urgent)].size;
--- a/Libraries/LibRouting/FairQueue.h
+++ b/Libraries/LibRouting/FairQueue.h
@@ -11,7 +11,7 @@
 
 namespace Stagepost {
 
-// A request that waits for a place at an upstream.
+// A request that is queued for a slot at an upstream.
 struct WaitingRequest {
     LeaseId lease;
     VMId entry;
@@ -20,15 +20,14 @@
     Priority priority { Priority::Bulk };
     ChatId chat;
     uint32_t contextTokens { 0 };
-    Instant since;
-    Instant until;
+    Instant enqueuedAt;
+    Instant expiresAt;
 };
 
-// The requests that wait for one upstream. Urgent ones go first, but a share of
-// the places goes to bulk work all the same, so that it is never starved. Within
-// each priority the organisations take turns by weight (start-time fair
-// queueing), so that one that sends ten times as much waits longer itself and
-// nobody else does.
+// The queue of one upstream. Urgent requests are served first, but a minimum share of
+// the slots goes to bulk requests so that they are never starved. Within a priority,
+// start-time fair queueing divides the slots among the organisations by weight, so
+// that a burst from one organisation delays only that organisation.
 class FairQueue {
 public:
     explicit FairQueue(double bulkShare)
@@ -37,30 +36,30 @@
     }
 
     void push(WaitingRequest);
-    // The next one in turn.
+    // Dequeues the next request.
     std::optional<WaitingRequest> pop();
-    // The next urgent one in turn, where only urgent requests may start.
+    // Dequeues the next urgent request, for when only urgent requests may start.
     std::optional<WaitingRequest> popUrgent() { return popFrom(m_levels[0]); }
     bool remove(LeaseId);
-    // Takes out every request whose time is over.
+    // Removes and returns the requests whose wait has timed out.
     std::vector<WaitingRequest> removeExpired(Instant now);
-    // Takes out the requests of entry daemons that are gone.
-    void removeEntries(std::function<bool(VMId)> const& isGone);
+    // Removes the requests of entry daemons that have left the fleet.
+    void removeRequestsOfEntries(std::function<bool(VMId)> const& isGone);
     bool contains(LeaseId) const;
 
     size_t size() const { return m_levels[0].size + m_levels[1].size; }
-    // How many would be served before a new request of this organisation.
-    size_t ahead(Priority, OrganisationId, double weight) const;
+    // Estimates how many requests would be served before a new one of this organisation.
+    size_t countAhead(Priority, OrganisationId, double weight) const;
 
 private:
-    struct Line {
+    struct Flow {
         std::deque<WaitingRequest> requests;
         double weight { 1 };
-        // The virtual time at which the line's next request is due.
-        double due { 0 };
+        // The start tag of the flow's next request, in virtual time.
+        double startTag { 0 };
     };
     struct Level {
-        std::map<OrganisationId, Line> lines;
+        std::map<OrganisationId, Flow> flows;
         double virtualTime { 0 };
         size_t size { 0 };
     };
@@ -70,7 +69,8 @@
     std::vector<WaitingRequest> removeIf(Predicate);
 
     double m_bulkShare;
-    // What bulk work is owed while urgent work goes first.
+    // Accumulates bulkShare for each dequeue while both priorities are queued. A bulk
+    // request is served for each whole unit.
     double m_bulkCredit { 0 };
     std::array<Level, 2> m_levels;
 };
--- a/Libraries/LibRouting/OrganisationLimiter.cpp
+++ b/Libraries/LibRouting/OrganisationLimiter.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-    constexpr Milliseconds inFlightRetry { 500 };
-    // A bucket less full than this, or more in flight, asks for a new share.
-    constexpr double nearShare = 0.5;
+    constexpr Milliseconds inFlightRetryAfter { 500 };
+    // A new share is requested when the bucket is filled below this fraction or the
+    // in-flight count reaches this fraction of its limit.
+    constexpr double nearShareThreshold = 0.5;
     constexpr double rateSmoothing = 0.3;
 
 }
@@ -22,42 +23,42 @@
     , m_tokens(0)
     , m_refilledAt(now)
 {
-    m_tokens = mostTokens();
+    m_tokens = bucketCapacity();
 }
 
-double OrganisationLimiter::mostTokens() const
+double OrganisationLimiter::bucketCapacity() const
 {
     if (m_limits.requestsPerSecond <= 0)
         return 0;
     auto const fleetBurst = m_limits.requestsPerSecond * burstSeconds;
-    return std::max({ 1.0, fleetBurst * m_rateShare, std::min(leastBurst, fleetBurst) });
+    return std::max({ 1.0, fleetBurst * m_rateShare, std::min(minBurst, fleetBurst) });
 }
 
 void OrganisationLimiter::setShares(double rateShare, double inFlightShare)
 {
     m_rateShare = rateShare;
     m_inFlightShare = inFlightShare;
-    m_isEven = false;
+    m_isEvenShare = false;
 }
 
 void OrganisationLimiter::setEvenShare(double share)
 {
     m_rateShare = share;
     m_inFlightShare = share;
-    m_isEven = true;
+    m_isEvenShare = true;
 }
 
-double OrganisationLimiter::mostInFlight() const
+double OrganisationLimiter::inFlightLimit() const
 {
-    auto const part = std::floor(m_limits.inFlight * m_inFlightShare);
-    auto const least = std::min(m_isEven ? leastInFlight : 1.0, m_limits.inFlight);
-    return std::max(part, least);
+    auto const share = std::floor(m_limits.inFlight * m_inFlightShare);
+    auto const minimum = std::min(m_isEvenShare ? minInFlight : 1.0, m_limits.inFlight);
+    return std::max(share, minimum);
 }
 
 void OrganisationLimiter::refill(Instant now)
 {
     auto const rate = m_limits.requestsPerSecond * m_rateShare;
-    m_tokens = std::min(mostTokens(), m_tokens + rate * asSeconds(now - m_refilledAt));
+    m_tokens = std::min(bucketCapacity(), m_tokens + rate * asSeconds(now - m_refilledAt));
     m_refilledAt = now;
 }
 
@@ -68,10 +69,10 @@
     if (m_tokens < 1) {
         auto const rate = std::max(1e-3, m_limits.requestsPerSecond * m_rateShare);
         auto const wait = Milliseconds(static_cast<int64_t>(std::ceil((1 - m_tokens) / rate * 1000)));
-        return Refusal { RefusalReason::OrganisationRate, Verdict::NotRun, "the organisation's rate is used up", wait };
+        return Refusal { RefusalReason::OrganisationRate, Verdict::NotRun, "the organisation exceeds its request rate limit", wait };
     }
-    if (static_cast<double>(m_inFlight) >= mostInFlight())
-        return Refusal { RefusalReason::OrganisationInFlight, Verdict::NotRun, "the organisation has as many requests in flight as it may", inFlightRetry };
+    if (static_cast<double>(m_inFlight) >= inFlightLimit())
+        return Refusal { RefusalReason::OrganisationInFlight, Verdict::NotRun, "the organisation has reached its limit of requests in flight", inFlightRetryAfter };
     m_tokens -= 1;
     ++m_inFlight;
     return {};
@@ -83,17 +84,17 @@
         --m_inFlight;
 }
 
-double OrganisationLimiter::takeArrivalRate(Microseconds since)
+double OrganisationLimiter::updateArrivalRate(Microseconds elapsed)
 {
-    m_arrivalRate += rateSmoothing * (static_cast<double>(m_arrivals) / asSeconds(since) - m_arrivalRate);
+    m_arrivalRate += rateSmoothing * (static_cast<double>(m_arrivals) / asSeconds(elapsed) - m_arrivalRate);
     m_arrivals = 0;
     return m_arrivalRate;
 }
 
 bool OrganisationLimiter::isNearShare() const
 {
-    bool const isRateNear = m_tokens < nearShare * mostTokens();
-    return isRateNear || static_cast<double>(m_inFlight) >= nearShare * mostInFlight();
+    bool const isRateNear = m_tokens < nearShareThreshold * bucketCapacity();
+    return isRateNear || static_cast<double>(m_inFlight) >= nearShareThreshold * inFlightLimit();
 }
 
 }
--- a/Libraries/LibRouting/OrganisationLimiter.h
+++ b/Libraries/LibRouting/OrganisationLimiter.h
@@ -7,55 +7,54 @@
 
 namespace Stagepost {
 
-// An organisation's limits over the whole fleet.
+// Fleet-wide limits of one organisation.
 struct OrganisationLimits {
     double requestsPerSecond { 1000 };
     double inFlight { 10000 };
 };
 
-// This daemon's part of one organisation's limits: a token bucket for the rate
-// and a count for what is in flight. The part follows the organisation's demand
-// here against its demand everywhere; see ShareExchange.
+// Enforces this daemon's share of one organisation's limits, with a token bucket for the
+// rate and a counter for the in-flight requests. ShareExchange adjusts the share to the
+// ratio of the organisation's local demand to its fleet-wide demand.
 class OrganisationLimiter {
 public:
-    // A bucket holds this many seconds' worth of requests, and a few at the least:
-    // a small part of a limit would refuse any two requests that come together.
+    // Capacity of the bucket in seconds of the rate. minBurst keeps a small share of a
+    // limit from refusing the second of two simultaneous requests.
     static constexpr double burstSeconds = 2;
-    static constexpr double leastBurst = 4;
-    static constexpr double leastInFlight = 4;
+    static constexpr double minBurst = 4;
+    static constexpr double minInFlight = 4;
 
     OrganisationLimiter(OrganisationLimits limits, double firstShare, Instant now);
 
     void setLimits(OrganisationLimits limits) { m_limits = limits; }
-    // The part that the organisation's coordinator gives.
+    // Sets the shares that the organisation's coordinator has assigned.
     void setShares(double rateShare, double inFlightShare);
-    // The part without a coordinator's word. A few requests are let in at the
-    // least then, since an even part of a small limit is less than one request.
+    // Sets the share to use while the coordinator has assigned none. At least minInFlight
+    // requests are admitted then, because an even share of a small limit is less than one.
     void setEvenShare(double share);
 
-    // Takes one request, or gives the reason why it may not start.
+    // Admits one request, or returns the reason for refusing it.
     std::optional<Refusal> admit(Instant now);
     void finished();
 
     size_t inFlight() const { return m_inFlight; }
-    // Says how long ago the last call was. Returns the requests a second, refused ones
-    // included, smoothed over some seconds.
-    double takeArrivalRate(Microseconds since);
+    // Updates and returns the moving average of the arrivals per second, including refused
+    // requests. The argument is the time since the last call.
+    double updateArrivalRate(Microseconds elapsed);
 
-    // Whether the use here comes near this daemon's part, so that the part has
-    // to follow the demand.
+    // Whether local usage is close enough to this daemon's share that the share has to be
+    // adjusted to the demand.
     bool isNearShare() const;
 
 private:
     void refill(Instant now);
+    double bucketCapacity() const;
+    double inFlightLimit() const;
 
     OrganisationLimits m_limits;
-    double mostTokens() const;
-    double mostInFlight() const;
-
     double m_rateShare;
     double m_inFlightShare;
-    bool m_isEven { true };
+    bool m_isEvenShare { true };
     double m_tokens;
     Instant m_refilledAt;
     size_t m_inFlight { 0 };
