--- a/Libraries/LibRouting/RetryBudget.cpp
+++ b/Libraries/LibRouting/RetryBudget.cpp
@@ -20,7 +20,7 @@
         if (slot.number < 0 || slot.number + static_cast<int64_t>(slotCount) <= newest)
             continue;
         retries += slot.retries;
-        // The oldest step may lie outside of the window already.
+        // Requests of the oldest slot may already be outside the window.
         if (slot.number + static_cast<int64_t>(slotCount) - 1 > newest)
             requests += slot.requests;
     }
--- a/Libraries/LibRouting/RetryBudget.h
+++ b/Libraries/LibRouting/RetryBudget.h
@@ -6,16 +6,17 @@
 
 namespace Stagepost {
 
-// Keeps the retries of a whole fleet to a share of its requests, without any
-// daemon asking another: where each spends no more than that share of its own
-// requests, the fleet's sum is within it as well. What the fleet may spend on top
-// is left to the daemons by equal shares; the share of one that is away is lost.
+// Limits the fleet's retries to a ratio of its requests without communication between
+// daemons: if every daemon limits its retries to that ratio of its own requests, the sum
+// over the fleet stays within the ratio too. The fleet-wide slack is divided evenly among
+// the daemons. The share of a daemon that is down goes unused.
 class RetryBudget {
 public:
     struct Bounds {
-        // Retries for each request.
+        // Allowed retries per request.
         double ratio { 0.2 };
-        // Retries in a window that the fleet may spend whatever its requests are.
+        // Retries per window that the whole fleet may make in addition, regardless of the
+        // number of requests.
         double slack { 0 };
         Microseconds window { 10000000 };
     };
@@ -25,19 +26,19 @@
     {
     }
 
-    // This daemon's part of the fleet's slack, from 0 to 1.
+    // Sets this daemon's share of the fleet-wide slack, from 0 to 1.
     void setShare(double share) { m_share = share; }
 
-    void requested(Instant now) { slotAt(now).requests += 1; }
+    void recordRequest(Instant now) { slotAt(now).requests += 1; }
     bool mayRetry(Instant now) const;
-    void retried(Instant now) { slotAt(now).retries += 1; }
+    void recordRetry(Instant now) { slotAt(now).retries += 1; }
 
 private:
-    // The window slides in steps of an eighth, and one step is kept on top so
-    // that no full window is ever missed.
+    // The window slides in steps of one eighth. The ninth slot keeps the retries of the
+    // partly expired step, so that they are never undercounted.
     static constexpr size_t slotCount = 9;
-    // Left unspent, since the retries of a request may be counted in a window
-    // that its own arrival has left.
+    // The rest of the budget stays unused as a margin, because a retry may fall into a
+    // later window than the request that it belongs to.
     static constexpr double usableShare = 0.85;
 
     struct Slot {
--- a/Libraries/LibRouting/RetryPolicy.cpp
+++ b/Libraries/LibRouting/RetryPolicy.cpp
@@ -25,26 +25,26 @@
     return "unknown";
 }
 
-void RetryPolicy::firstTry()
+void RetryPolicy::recordFirstAttempt()
 {
-    m_saved = std::min(mostSaved, m_saved + m_share);
+    m_savedRetries = std::min(maxSavedRetries, m_savedRetries + m_share);
 }
 
-RetryDecision RetryPolicy::decide(FailedTry const& failed, Instant now)
+RetryDecision RetryPolicy::decide(RetryContext const& context, Instant now)
 {
-    if (failed.reason == RefusalReason::CallerGone || failed.reason == RefusalReason::SlowCaller)
+    if (context.reason == RefusalReason::CallerGone || context.reason == RefusalReason::SlowCaller)
         return RetryDecision::CallerGone;
-    if (failed.answerStarted)
+    if (context.answerStarted)
         return RetryDecision::AnswerStarted;
-    if (failed.verdict != Verdict::NotRun && !failed.isRepeatable)
+    if (context.verdict != Verdict::NotRun && !context.isRepeatable)
         return RetryDecision::MayHaveRun;
-    if (failed.tries >= failed.mostTries)
+    if (context.attempts >= context.maxAttempts)
         return RetryDecision::TooManyTries;
-    if (now >= failed.deadline)
+    if (now >= context.deadline)
         return RetryDecision::DeadlineTooNear;
-    if (m_saved < 1)
+    if (m_savedRetries < 1)
         return RetryDecision::BudgetSpent;
-    m_saved -= 1;
+    m_savedRetries -= 1;
     return RetryDecision::Retry;
 }
 
--- a/Libraries/LibRouting/RetryPolicy.h
+++ b/Libraries/LibRouting/RetryPolicy.h
@@ -8,10 +8,10 @@
 
 namespace Stagepost {
 
-// Whether a request that failed is tried again, and if not, why not.
+// The decision whether to retry a failed request. All values but Retry are reasons not to.
 enum class RetryDecision {
     Retry,
-    // It may have run, and running it again may do harm.
+    // The request may have been executed and is not safe to repeat.
     MayHaveRun,
     AnswerStarted,
     CallerGone,
@@ -22,22 +22,23 @@
 
 std::string_view nameOf(RetryDecision);
 
-struct FailedTry {
+// The state of a request after a failed attempt.
+struct RetryContext {
     Verdict verdict { Verdict::MayHaveRun };
     RefusalReason reason { RefusalReason::UpstreamBroken };
     bool isRepeatable { false };
     bool answerStarted { false };
-    size_t tries { 1 };
-    size_t mostTries { 3 };
+    size_t attempts { 1 };
+    size_t maxAttempts { 3 };
     Instant deadline;
 };
 
-// Decides on retries and keeps their number to a share of the first tries, so
-// that a failing pool does not get a second load on top of the first.
+// Decides on retries and limits their number to a share of the first attempts, so that
+// retries don't multiply the load on a failing pool.
 class RetryPolicy {
 public:
-    // The budget that has been saved up is at most this many retries.
-    static constexpr double mostSaved = 20;
+    // Upper bound on the retries that can be saved up.
+    static constexpr double maxSavedRetries = 20;
 
     explicit RetryPolicy(double share)
         : m_share(share)
@@ -45,13 +46,13 @@
     }
 
     void setShare(double share) { m_share = share; }
-    void firstTry();
-    RetryDecision decide(FailedTry const&, Instant now);
+    void recordFirstAttempt();
+    RetryDecision decide(RetryContext const&, Instant now);
 
 private:
     double m_share;
-    // A daemon that has just started may retry a little.
-    double m_saved { 2 };
+    // Starts above 0 so that a daemon can retry right after its start.
+    double m_savedRetries { 2 };
 };
 
 }
