--- a/Libraries/LibRouting/RequestAttempts.cpp
+++ b/Libraries/LibRouting/RequestAttempts.cpp
@@ -6,88 +6,88 @@
 
 namespace {
 
-    // A request that finds no connection is tried at this many upstreams; each
-    // costs the caller time.
-    constexpr size_t mostUnconnected = 5;
-    // A request that upstreams reject is tried at this many. One rejection may be that
-    // upstream's own matter, as an address that has been given to another service; two
-    // say that the service is full, and trying on would only be more load.
-    constexpr size_t mostRejections = 2;
-    // Connections come up within a few milliseconds or hardly at all: a lost opening
-    // packet is sent again only after a second, so there is nothing to wait for
-    // beyond a few ways between regions.
-    constexpr Milliseconds leastConnectTime { 40 };
-    constexpr Milliseconds mostConnectTime { 100 };
-    constexpr int objectiveShareToConnect = 8;
-    // With less than this left no upstream could answer.
-    constexpr Milliseconds leastUsefulTime { 5 };
-    // A share of the objective after which a request that may be repeated is
-    // better asked elsewhere: late enough that sound upstreams have answered,
-    // early enough that the second answer is in time.
-    constexpr int objectiveShareForFirstTry = 2;
-    // Pauses of a stream that are this many times the tolerable one make it worth
-    // reading the whole context again elsewhere.
-    constexpr int gapsBeforeMove = 3;
-    constexpr Milliseconds anyGap { 1000 };
-    // Callers come back after this share of the objective, so that the second
-    // answer can still be in time.
-    constexpr int objectiveShareToComeBack = 10;
-    constexpr Milliseconds leastComeBack { 20 };
-    constexpr Milliseconds mostComeBack { 500 };
+    // Upstreams tried while no connection can be established. Each adds latency for the
+    // caller.
+    constexpr size_t maxConnectFailures = 5;
+    // A single rejection may be specific to the upstream, such as an address that was
+    // reassigned to another service. Two indicate that the service is at capacity, where
+    // further attempts would only add load.
+    constexpr size_t maxRejections = 2;
+    // Connections are usually established within a few milliseconds or not at all. A lost
+    // SYN is retransmitted only after a second, so waiting longer than a few round trips
+    // between regions is useless.
+    constexpr Milliseconds minConnectTimeout { 40 };
+    constexpr Milliseconds maxConnectTimeout { 100 };
+    constexpr int connectTimeoutDivisor = 8;
+    // No upstream can respond in less time than this.
+    constexpr Milliseconds minResponseTime { 5 };
+    // A repeatable request moves to another upstream after objective / this divisor. That is
+    // late enough for healthy upstreams to have responded, and early enough for the second
+    // response to meet the objective.
+    constexpr int firstAttemptTimeoutDivisor = 2;
+    // A gap of this many times the tolerable one justifies moving the stream, although the
+    // new upstream has to process the whole context again.
+    constexpr int gapTimeoutFactor = 3;
+    constexpr Milliseconds defaultGapObjective { 1000 };
+    // Callers are told to retry after objective / this divisor, so that the second response
+    // can still meet the objective.
+    constexpr int retryAfterDivisor = 10;
+    constexpr Milliseconds minRetryAfter { 20 };
+    constexpr Milliseconds maxRetryAfter { 500 };
 
 }
 
 Milliseconds RequestAttempts::timeLeft(Instant now) const
 {
-    return std::chrono::duration_cast<Milliseconds>(m_terms.limit - now);
+    return std::chrono::duration_cast<Milliseconds>(m_limits.deadline - now);
 }
 
 bool RequestAttempts::isOver(Instant now) const
 {
-    return now + leastUsefulTime >= m_terms.limit;
+    return now + minResponseTime >= m_limits.deadline;
 }
 
 bool RequestAttempts::couldSendAgain(size_t upstreams, Instant now) const
 {
-    return m_terms.isRepeatable && m_sends < m_terms.mostSends && upstreams > m_failed.size() + 1 && m_budget.mayRetry(now);
+    return m_limits.isRepeatable && m_sends < m_limits.maxSends && upstreams > m_failed.size() + 1 && m_budget.mayRetry(now);
 }
 
-// The last upstream that may be asked gets all the time there is.
-AttemptPatience RequestAttempts::patience(size_t upstreams, UsualWaits const& usual, Instant now) const
+// The last attempt gets all the remaining time.
+AttemptTimeouts RequestAttempts::timeouts(size_t upstreams, UsualWaits const& usual, Instant now) const
 {
-    AttemptPatience result;
-    result.connect = std::clamp<Milliseconds>(m_terms.objective / objectiveShareToConnect, leastConnectTime, mostConnectTime);
+    AttemptTimeouts result;
+    result.connect = std::clamp<Milliseconds>(m_limits.objective / connectTimeoutDivisor, minConnectTimeout, maxConnectTimeout);
     result.firstByte = timeLeft(now);
     result.betweenParts = timeLeft(now);
     if (!couldSendAgain(upstreams, now))
         return result;
-    // A request that leaves a queue before its turn goes to the end of another one: the
-    // longer all wait, the later one that waits is out of the ordinary.
-    auto const firstTry = std::max(m_terms.objective / objectiveShareForFirstTry, std::chrono::duration_cast<Milliseconds>(usual.forAny));
-    // Another upstream would have to read a long prompt from its start, and be no
-    // sooner: but what takes longer than the objective is late in any case.
-    auto const reading = std::min(m_terms.objective, std::chrono::duration_cast<Milliseconds>(usual.forPrompt));
-    result.firstByte = std::min(result.firstByte, std::max(firstTry, reading));
-    result.betweenParts = m_terms.gapObjective.value_or(anyGap) * gapsBeforeMove;
+    // Moving gives up the request's position in the upstream's queue for the end of another
+    // queue, so the timeout grows with the usual wait of the service.
+    auto const firstAttempt = std::max(m_limits.objective / firstAttemptTimeoutDivisor, std::chrono::duration_cast<Milliseconds>(usual.forAny));
+    // Another upstream would have to process a long prompt from the start and would not
+    // respond sooner. The objective bounds this: a longer wait misses it anyway.
+    auto const promptTime = std::min(m_limits.objective, std::chrono::duration_cast<Milliseconds>(usual.forPrompt));
+    result.firstByte = std::min(result.firstByte, std::max(firstAttempt, promptTime));
+    result.betweenParts = m_limits.gapObjective.value_or(defaultGapObjective) * gapTimeoutFactor;
     return result;
 }
 
 bool RequestAttempts::needsFreshConnection(ServicePlacement::Choice const& choice) const
 {
-    return choice.isInDoubt || (!m_terms.isRepeatable && !m_terms.isStream);
+    return choice.isInDoubt || (!m_limits.isRepeatable && !m_limits.isStream);
 }
 
-void RequestAttempts::sent()
+void RequestAttempts::recordSend()
 {
     ++m_sends;
 }
 
-bool RequestAttempts::failed(UpstreamId upstream, FailedAttempt const& attempt, Instant now)
+bool RequestAttempts::recordFailure(UpstreamId upstream, FailedAttempt const& attempt, Instant now)
 {
-    // What has not run does not count against the route's runs.
+    // An attempt that was not executed does not count against the route's maxSends.
     if (attempt.isUnconnected) {
         --m_sends;
-        ++m_unconnected;
+        ++m_connectFailures;
     } else if (attempt.isRejected) {
         --m_sends;
         ++m_rejections;
@@ -97,24 +97,24 @@
     if (!maySendAgain(attempt, now))
         return false;
     if (!attempt.isUnconnected)
-        m_budget.retried(now);
+        m_budget.recordRetry(now);
     return true;
 }
 
 bool RequestAttempts::maySendAgain(FailedAttempt const& attempt, Instant now) const
 {
-    if (attempt.isCallerLost || attempt.reachedLimit || isOver(now))
+    if (attempt.isCallerLost || attempt.deadlinePassed || isOver(now))
         return false;
-    if (attempt.verdict != Verdict::NotRun && !m_terms.isRepeatable)
+    if (attempt.verdict != Verdict::NotRun && !m_limits.isRepeatable)
         return false;
     if (attempt.isUnconnected && m_sends == 0 && m_rejections == 0)
-        return m_unconnected < mostUnconnected;
-    return m_sends < m_terms.mostSends && m_rejections < mostRejections && m_budget.mayRetry(now);
+        return m_connectFailures < maxConnectFailures;
+    return m_sends < m_limits.maxSends && m_rejections < maxRejections && m_budget.mayRetry(now);
 }
 
-Milliseconds RequestAttempts::timeToComeBack() const
+Milliseconds RequestAttempts::retryAfter() const
 {
-    return std::clamp<Milliseconds>(m_terms.objective / objectiveShareToComeBack, leastComeBack, mostComeBack);
+    return std::clamp<Milliseconds>(m_limits.objective / retryAfterDivisor, minRetryAfter, maxRetryAfter);
 }
 
 }
--- a/Libraries/LibRouting/RequestAttempts.h
+++ b/Libraries/LibRouting/RequestAttempts.h
@@ -10,93 +10,96 @@
 
 namespace Stagepost {
 
-// What a request's route allows.
-struct AttemptTerms {
-    // Whether it may run more than once.
+// The limits that a request's route sets on its attempts.
+struct AttemptLimits {
+    // Whether the request may be executed more than once.
     bool isRepeatable { false };
-    // Whether its answer is a stream of events.
+    // Whether the response is an event stream.
     bool isStream { false };
-    // The most upstreams that may run it.
-    size_t mostSends { 1 };
-    // Within which its answer should begin.
+    // Maximum number of times that the request may be sent for execution.
+    size_t maxSends { 1 };
+    // Target time to the first byte of the response.
     Milliseconds objective { 0 };
-    // The longest pause in a stream that its caller tolerates.
+    // Longest gap between parts of a stream that the caller tolerates.
     std::optional<Milliseconds> gapObjective;
-    // By when the caller has its final answer.
-    Instant limit;
+    // Time by which the caller must have the final response.
+    Instant deadline;
 };
 
-// How long one upstream may take for a request.
-struct AttemptPatience {
+// Timeouts for one attempt at an upstream.
+struct AttemptTimeouts {
     Milliseconds connect { 0 };
     Milliseconds firstByte { 0 };
     Milliseconds betweenParts { 0 };
 };
 
-// How one attempt ended that gave no whole answer.
+// How an attempt without a complete response ended.
 struct FailedAttempt {
     Verdict verdict { Verdict::MayHaveRun };
-    // No connection came up.
+    // No connection could be established.
     bool isUnconnected { false };
-    // The upstream answered that it has not run the request: it is full, or it is
-    // not the one that was expected at its address.
+    // The upstream responded that it has not executed the request, because it is at
+    // capacity or is not the instance that was expected at its address.
     bool isRejected { false };
-    // The request's time is over.
-    bool reachedLimit { false };
-    // The caller has left, or does not read.
+    // The request's deadline has passed.
+    bool deadlinePassed { false };
+    // The caller has disconnected or does not read the response.
     bool isCallerLost { false };
 };
 
-// Decides for one request how long each upstream is waited for, whether another
-// one is asked after a failure, and when the request is given up. What may have
-// run is sent again only where that is allowed, within the fleet's budget.
+// Decides for one request on the timeouts of each attempt, on sending it to another
+// upstream after a failure, and on giving up. A request that may have been executed is
+// sent again only if its route allows that, and within the fleet's retry budget.
 class RequestAttempts {
 public:
-    RequestAttempts(AttemptTerms terms, RetryBudget& budget)
-        : m_terms(terms)
+    RequestAttempts(AttemptLimits limits, RetryBudget& budget)
+        : m_limits(limits)
         , m_budget(budget)
     {
     }
 
-    // Whether no upstream could answer any more.
+    // Whether too little time is left for any upstream to respond.
     bool isOver(Instant now) const;
     Milliseconds timeLeft(Instant now) const;
-    // The request goes to an upstream now.
-    void sent();
-    // Whether another of so many upstreams could be asked if that one fails; also
-    // asked when an answer is overdue: where none could be, waiting on costs nothing.
+    // Records that the request is being sent to an upstream.
+    void recordSend();
+    // Whether the request could be sent to another one of the given number of upstreams if
+    // the current attempt fails. Also used when a response is overdue: if there is no
+    // alternative, waiting longer costs nothing.
     bool couldSendAgain(size_t upstreams, Instant now) const;
-    // For the upstream that it was sent to last.
-    AttemptPatience patience(size_t upstreams, UsualWaits const&, Instant now) const;
-    // Whether only a connection that has just come up will do: one used before may
-    // have been closed, or cut, which leaves a doubt about the request.
+    // Returns the timeouts of the current attempt.
+    AttemptTimeouts timeouts(size_t upstreams, UsualWaits const&, Instant now) const;
+    // Whether the request must use a new connection. A reused one may already be closed or
+    // broken, which would leave it unclear whether the request was executed.
     bool needsFreshConnection(ServicePlacement::Choice const&) const;
 
-    // True where another upstream is to be asked; that is counted against the budget.
-    bool failed(UpstreamId, FailedAttempt const&, Instant now);
-    void answered() { m_verdict = Verdict::Ran; }
+    // Records a failed attempt. Returns true if the request is to be sent to another upstream.
+    // That counts against the budget, unless no connection was established.
+    bool recordFailure(UpstreamId, FailedAttempt const&, Instant now);
+    void recordResponse() { m_verdict = Verdict::Ran; }
 
-    // When a caller is best told to come back: its second answer can still be in time.
-    Milliseconds timeToComeBack() const;
+    // Returns the delay after which the caller should retry. It is short enough for the
+    // second response to still meet the objective.
+    Milliseconds retryAfter() const;
 
     Verdict verdict() const { return m_verdict; }
-    // How often the request has run, or may have.
+    // Number of times that the request was, or may have been, executed.
     size_t sends() const { return m_sends; }
-    // How often an upstream has rejected it without running it.
+    // Number of times that an upstream rejected the request without executing it.
     size_t rejections() const { return m_rejections; }
-    // How often no connection to an upstream came up.
-    size_t unconnected() const { return m_unconnected; }
+    // Number of times that no connection to an upstream could be established.
+    size_t connectFailures() const { return m_connectFailures; }
     std::vector<UpstreamId> const& failedUpstreams() const { return m_failed; }
-    Instant limit() const { return m_terms.limit; }
+    Instant deadline() const { return m_limits.deadline; }
 
 private:
     bool maySendAgain(FailedAttempt const&, Instant now) const;
 
-    AttemptTerms m_terms;
+    AttemptLimits m_limits;
     RetryBudget& m_budget;
     std::vector<UpstreamId> m_failed;
     size_t m_sends { 0 };
-    size_t m_unconnected { 0 };
+    size_t m_connectFailures { 0 };
     size_t m_rejections { 0 };
     Verdict m_verdict { Verdict::NotRun };
 };
