--- a/Libraries/LibRouting/RoutingView.cpp
+++ b/Libraries/LibRouting/RoutingView.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    std::optional<VMId> highestRank(uint64_t key, std::vector<VMId> const& daemons)
+    std::optional<VMId> highestRanked(uint64_t key, std::vector<VMId> const& daemons)
     {
         std::optional<VMId> best;
         double bestRank = 0;
@@ -57,7 +57,7 @@
     return found == m_pools.end() ? none : found->second;
 }
 
-std::vector<UpstreamId> RoutingView::candidates(PoolId pool, ChatId chat, size_t most) const
+std::vector<UpstreamId> RoutingView::candidates(PoolId pool, ChatId chat, size_t maxCount) const
 {
     struct Ranked {
         double rank;
@@ -69,7 +69,7 @@
         if (!upstream.isLeaving)
             ranked.push_back({ rendezvousRank(chat.value(), upstream.id.value(), upstream.weight), upstream.id });
     }
-    auto const count = std::min(most, ranked.size());
+    auto const count = std::min(maxCount, ranked.size());
     auto const middle = ranked.begin() + static_cast<std::ptrdiff_t>(count);
     std::partial_sort(ranked.begin(), middle, ranked.end(), [](auto const& a, auto const& b) { return a.rank > b.rank; });
     std::vector<UpstreamId> result;
@@ -86,12 +86,12 @@
     auto const inHall = m_hallDaemons.find(upstream->hall);
     if (inHall == m_hallDaemons.end())
         return coordinatorOf(id.value());
-    return highestRank(id.value(), inHall->second);
+    return highestRanked(id.value(), inHall->second);
 }
 
 std::optional<VMId> RoutingView::coordinatorOf(uint64_t subject) const
 {
-    return highestRank(subject, m_active);
+    return highestRanked(subject, m_active);
 }
 
 }
--- a/Libraries/LibRouting/RoutingView.h
+++ b/Libraries/LibRouting/RoutingView.h
@@ -14,7 +14,7 @@
     UpstreamId id;
     PoolId pool;
     HallId hall;
-    // A leaving upstream finishes what it has and gets nothing new.
+    // A leaving upstream finishes its requests and receives no new ones.
     bool isLeaving { false };
     double weight { 1 };
     auto operator<=>(UpstreamView const&) const = default;
@@ -23,36 +23,37 @@
 struct DaemonView {
     VMId id;
     HallId hall;
-    // A leaving daemon finishes its requests but owns nothing any more.
+    // A leaving daemon finishes its requests but no longer owns any upstream.
     bool isLeaving { false };
     auto operator<=>(DaemonView const&) const = default;
 };
 
-// Which upstreams and daemons one daemon believes to be there and reachable.
-// Views of different daemons differ for seconds at a time.
+// The upstreams and daemons that one daemon considers present and reachable. The views
+// of different daemons can differ for several seconds.
 class RoutingView {
 public:
     RoutingView() = default;
     RoutingView(VMId self, HallId hall, std::vector<UpstreamView>, std::vector<DaemonView>);
 
-    // The upstreams of the pool that take new work, in the chat's order, the
-    // first choice first; at most that many.
-    std::vector<UpstreamId> candidates(PoolId, ChatId, size_t most) const;
+    // Returns at most maxCount upstreams of the pool that accept new requests, in the
+    // chat's rendezvous order with the first choice first.
+    std::vector<UpstreamId> candidates(PoolId, ChatId, size_t maxCount) const;
 
-    // The daemon that counts the upstream's requests: by rendezvous among the
-    // daemons of its hall, or among all when none of its hall is reachable.
+    // Returns the daemon that tracks the upstream's requests. It is chosen by rendezvous
+    // hashing among the active daemons of the upstream's hall, or among those of all halls
+    // if that hall has none.
     std::optional<VMId> ownerOf(UpstreamId) const;
 
-    // The daemon that adds up what others report about a subject.
+    // Returns the daemon that aggregates the reports of all daemons about a subject.
     std::optional<VMId> coordinatorOf(uint64_t subject) const;
 
     UpstreamView const* find(UpstreamId) const;
     std::vector<UpstreamView> const& upstreams() const { return m_upstreams; }
     std::vector<DaemonView> const& daemons() const { return m_daemons; }
-    // The daemons that are not leaving, or all when there are no others.
+    // Returns the daemons that are not leaving, or all daemons if every one is leaving.
     std::vector<VMId> const& activeDaemons() const { return m_active; }
     std::vector<size_t> const& upstreamsOf(PoolId) const;
-    // Whether the daemon is there, leaving or not.
+    // Whether the view contains the daemon, including one that is leaving.
     bool hasDaemon(VMId id) const { return m_known.contains(id); }
     VMId self() const { return m_self; }
     HallId hall() const { return m_hall; }
--- a/Libraries/LibRouting/SendWindow.h
+++ b/Libraries/LibRouting/SendWindow.h
@@ -7,14 +7,14 @@
 
 namespace Stagepost {
 
-// The newest sends to one upstream, counted in a window that slides with the time.
+// Counts the most recent requests sent to one upstream in a sliding time window.
 class SendWindow {
 public:
-    // Only so many are kept as are ever compared with.
-    void add(size_t sends, size_t mostKept, Instant now)
+    // maxKept bounds the memory. Callers never compare the count with a higher number.
+    void add(size_t sends, size_t maxKept, Instant now)
     {
-        m_sends.insert(m_sends.end(), std::min(sends, mostKept), now);
-        while (m_sends.size() > mostKept)
+        m_sends.insert(m_sends.end(), std::min(sends, maxKept), now);
+        while (m_sends.size() > maxKept)
             m_sends.pop_front();
     }
 
