--- a/Libraries/LibRouting/RoutingMessage.cpp
+++ b/Libraries/LibRouting/RoutingMessage.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-    // Waits travel in milliseconds: this many of a clock's microseconds.
+    // Waits are encoded in milliseconds.
     constexpr Microseconds waitUnit { 1000 };
 
-    // An ask's priority, mode and last-try mark share one number.
+    // A lease request's priority, final-attempt flag and mode are packed into one number.
     constexpr uint64_t urgentBit = 1;
-    constexpr uint64_t lastTryBit = 2;
+    constexpr uint64_t finalAttemptBit = 2;
     constexpr uint64_t modeShift = 2;
 
     void writeLease(MessageWriter& writer, LeaseId lease)
@@ -33,55 +33,55 @@
 
     Microseconds readWait(MessageReader& reader)
     {
-        constexpr uint64_t longestWait = 1u << 30;
-        return waitUnit * static_cast<int64_t>(std::min(reader.number(), longestWait));
+        constexpr uint64_t maxEncodedWait = 1u << 30;
+        return waitUnit * static_cast<int64_t>(std::min(reader.number(), maxEncodedWait));
     }
 
-    void write(MessageWriter& writer, Ask const& ask)
+    void write(MessageWriter& writer, LeaseRequest const& request)
     {
-        writeLease(writer, ask.lease);
-        writer.id(ask.upstream);
-        writer.id(ask.chat);
-        writer.id(ask.organisation);
-        writer.number((ask.priority == Priority::Urgent ? urgentBit : 0) | (ask.isLastTry ? lastTryBit : 0) | static_cast<uint64_t>(ask.mode) << modeShift);
-        writer.number(ask.contextTokens);
-        writeWait(writer, ask.waitFor);
+        writeLease(writer, request.lease);
+        writer.id(request.upstream);
+        writer.id(request.chat);
+        writer.id(request.organisation);
+        writer.number((request.priority == Priority::Urgent ? urgentBit : 0) | (request.isFinalAttempt ? finalAttemptBit : 0) | static_cast<uint64_t>(request.mode) << modeShift);
+        writer.number(request.contextTokens);
+        writeWait(writer, request.maxWait);
     }
 
-    void write(MessageWriter& writer, Answer const& answer)
+    void write(MessageWriter& writer, LeaseResponse const& response)
     {
-        writeLease(writer, answer.lease);
-        writer.number(static_cast<uint64_t>(answer.kind));
-        if (answer.kind == AnswerKind::Granted)
-            writer.number(answer.holdsContext);
+        writeLease(writer, response.lease);
+        writer.number(static_cast<uint64_t>(response.kind));
+        if (response.kind == LeaseResponseKind::Granted)
+            writer.number(response.holdsContext);
         else
-            writeWait(writer, answer.estimate);
-        if (answer.kind == AnswerKind::Full)
-            writer.number(answer.load);
-        if (answer.kind == AnswerKind::NotHeld)
-            writer.id(answer.movedTo.value_or(UpstreamId {}));
-        if (answer.kind == AnswerKind::Refused)
-            writer.number(static_cast<uint64_t>(answer.reason));
+            writeWait(writer, response.estimate);
+        if (response.kind == LeaseResponseKind::Full)
+            writer.number(response.load);
+        if (response.kind == LeaseResponseKind::NotHeld)
+            writer.id(response.movedTo.value_or(UpstreamId {}));
+        if (response.kind == LeaseResponseKind::Refused)
+            writer.number(static_cast<uint64_t>(response.reason));
     }
 
-    void write(MessageWriter& writer, Release const& release)
+    void write(MessageWriter& writer, LeaseRelease const& release)
     {
         writeLease(writer, release.lease);
         writer.number(static_cast<uint64_t>(release.outcome));
     }
 
-    void write(MessageWriter& writer, Renew const& renew)
+    void write(MessageWriter& writer, LeaseRenewal const& renewal)
     {
-        writer.id(renew.upstream);
-        writer.number(renew.leases.size());
-        for (auto const& entry : renew.leases) {
+        writer.id(renewal.upstream);
+        writer.number(renewal.leases.size());
+        for (auto const& entry : renewal.leases) {
             writer.id(entry.lease);
             writer.id(entry.chat);
             writer.number(entry.contextTokens);
         }
     }
 
-    void write(MessageWriter& writer, Moved const& moved)
+    void write(MessageWriter& writer, ChatMoved const& moved)
     {
         writer.id(moved.upstream);
         writer.id(moved.chat);
@@ -109,9 +109,9 @@
         writer.number(share.inFlightMillionths);
     }
 
-    // An enumerator from its number; a number beyond the last one is damage.
+    // Reads an enumerator. A number above the last one makes the datagram invalid.
     template <typename Enum>
-    Enum enumerator(MessageReader& reader, Enum last, bool& isValid)
+    Enum readEnumerator(MessageReader& reader, Enum last, bool& isValid)
     {
         auto const value = reader.number();
         if (value > static_cast<uint64_t>(last)) {
@@ -121,84 +121,84 @@
         return static_cast<Enum>(value);
     }
 
-    Ask readAsk(MessageReader& reader, VMId from, bool& isValid)
+    LeaseRequest readLeaseRequest(MessageReader& reader, VMId from, bool& isValid)
     {
-        Ask ask;
-        ask.lease = readLease(reader, from);
-        ask.upstream = reader.id<UpstreamId>();
-        ask.chat = reader.id<ChatId>();
-        ask.organisation = reader.id<OrganisationId>();
-        auto const marks = reader.number();
-        ask.priority = marks & urgentBit ? Priority::Urgent : Priority::Bulk;
-        ask.isLastTry = (marks & lastTryBit) != 0;
-        if (marks >> modeShift > static_cast<uint64_t>(AskMode::Anyway))
+        LeaseRequest request;
+        request.lease = readLease(reader, from);
+        request.upstream = reader.id<UpstreamId>();
+        request.chat = reader.id<ChatId>();
+        request.organisation = reader.id<OrganisationId>();
+        auto const flags = reader.number();
+        request.priority = flags & urgentBit ? Priority::Urgent : Priority::Bulk;
+        request.isFinalAttempt = (flags & finalAttemptBit) != 0;
+        if (flags >> modeShift > static_cast<uint64_t>(LeaseRequestMode::IgnoreMove))
             isValid = false;
         else
-            ask.mode = static_cast<AskMode>(marks >> modeShift);
-        ask.contextTokens = static_cast<uint32_t>(reader.number());
-        ask.waitFor = readWait(reader);
-        return ask;
+            request.mode = static_cast<LeaseRequestMode>(flags >> modeShift);
+        request.contextTokens = static_cast<uint32_t>(reader.number());
+        request.maxWait = readWait(reader);
+        return request;
     }
 
-    Answer readAnswer(MessageReader& reader, VMId self, bool& isValid)
+    LeaseResponse readLeaseResponse(MessageReader& reader, VMId self, bool& isValid)
     {
-        Answer answer;
-        answer.lease = readLease(reader, self);
-        answer.kind = enumerator(reader, AnswerKind::Refused, isValid);
-        if (answer.kind == AnswerKind::Granted)
-            answer.holdsContext = reader.number() != 0;
+        LeaseResponse response;
+        response.lease = readLease(reader, self);
+        response.kind = readEnumerator(reader, LeaseResponseKind::Refused, isValid);
+        if (response.kind == LeaseResponseKind::Granted)
+            response.holdsContext = reader.number() != 0;
         else
-            answer.estimate = readWait(reader);
-        if (answer.kind == AnswerKind::Full)
-            answer.load = reader.number();
-        if (answer.kind == AnswerKind::NotHeld) {
+            response.estimate = readWait(reader);
+        if (response.kind == LeaseResponseKind::Full)
+            response.load = reader.number();
+        if (response.kind == LeaseResponseKind::NotHeld) {
             if (auto const moved = reader.id<UpstreamId>(); !moved.isNull())
-                answer.movedTo = moved;
+                response.movedTo = moved;
         }
         auto const lastReason = static_cast<RefusalReason>(static_cast<int>(RefusalReason::Count) - 1);
-        if (answer.kind == AnswerKind::Refused)
-            answer.reason = enumerator(reader, lastReason, isValid);
-        return answer;
+        if (response.kind == LeaseResponseKind::Refused)
+            response.reason = readEnumerator(reader, lastReason, isValid);
+        return response;
     }
 
-    Release readRelease(MessageReader& reader, VMId from, bool& isValid)
+    LeaseRelease readLeaseRelease(MessageReader& reader, VMId from, bool& isValid)
     {
-        Release release;
+        LeaseRelease release;
         release.lease = readLease(reader, from);
-        release.outcome = enumerator(reader, LeaseOutcome::Unused, isValid);
+        release.outcome = readEnumerator(reader, LeaseOutcome::Unused, isValid);
         return release;
     }
 
-    Renew readRenew(MessageReader& reader, VMId from)
+    LeaseRenewal readLeaseRenewal(MessageReader& reader, VMId from)
     {
-        Renew renew;
-        renew.upstream = reader.id<UpstreamId>();
+        LeaseRenewal renewal;
+        renewal.upstream = reader.id<UpstreamId>();
         auto const count = reader.count();
         for (size_t index = 0; index < count && !reader.failed(); ++index) {
-            Renew::Entry entry;
+            LeaseRenewal::Entry entry;
             entry.lease = readLease(reader, from);
             entry.chat = reader.id<ChatId>();
             entry.contextTokens = static_cast<uint32_t>(reader.number());
-            renew.leases.push_back(entry);
+            renewal.leases.push_back(entry);
         }
-        return renew;
+        return renewal;
     }
 
     RoutingMessage readMessage(size_t kind, MessageReader& reader, VMId from, VMId self, bool& isValid)
     {
         switch (kind) {
         case 0:
-            return readAsk(reader, from, isValid);
+            return readLeaseRequest(reader, from, isValid);
         case 1:
-            return readAnswer(reader, self, isValid);
+            return readLeaseResponse(reader, self, isValid);
         case 2:
-            return readRelease(reader, from, isValid);
+            return readLeaseRelease(reader, from, isValid);
         case 3:
-            return readRenew(reader, from);
+            return readLeaseRenewal(reader, from);
         case 4: {
             auto const upstream = reader.id<UpstreamId>();
             auto const chat = reader.id<ChatId>();
-            return Moved { upstream, chat, reader.id<UpstreamId>() };
+            return ChatMoved { upstream, chat, reader.id<UpstreamId>() };
         }
         case 5: {
             auto const pool = reader.id<PoolId>();
@@ -217,7 +217,7 @@
         }
         default:
             isValid = false;
-            return Release {};
+            return LeaseRelease {};
         }
     }
     static_assert(std::variant_size_v<RoutingMessage> == 8);
@@ -242,7 +242,7 @@
     while (isValid && !reader.failed() && !reader.finished())
         messages.push_back(readMessage(reader.number(), reader, from, self, isValid));
     if (!isValid || reader.failed())
-        return Error(ErrorCode::Malformed, "a message between daemons is not understood");
+        return Error(ErrorCode::Malformed, "the datagram from another daemon is malformed");
     return messages;
 }
 
--- a/Libraries/LibRouting/RoutingMessage.h
+++ b/Libraries/LibRouting/RoutingMessage.h
@@ -13,31 +13,32 @@
 
 namespace Stagepost {
 
-enum class AskMode : uint8_t {
-    // The usual way; the owner may say that the chat has moved elsewhere.
+enum class LeaseRequestMode : uint8_t {
+    // The owner may reply that the chat has moved to another upstream.
     Normal,
-    // Only if the upstream holds the chat's context.
+    // Grant only if the upstream holds the chat's context.
     OnlyIfHeld,
-    // Even if the owner believes the chat to be elsewhere.
-    Anyway,
+    // Grant even if the chat is known to have moved to another upstream.
+    IgnoreMove,
 };
 
-// An entry daemon asks an upstream's owner for a place.
-struct Ask {
+// Sent by an entry daemon to an upstream's owner to request a slot.
+struct LeaseRequest {
     LeaseId lease;
     UpstreamId upstream;
     ChatId chat;
     OrganisationId organisation;
     Priority priority { Priority::Bulk };
-    AskMode mode { AskMode::Normal };
+    LeaseRequestMode mode { LeaseRequestMode::Normal };
     uint32_t contextTokens { 0 };
-    // How long to wait for a place; none for an answer at once.
-    Microseconds waitFor {};
-    // Whether the request is refused when that time is over; it tries elsewhere otherwise.
-    bool isLastTry { false };
+    // Longest time to wait in the queue. 0 requests an immediate response.
+    Microseconds maxWait {};
+    // Whether the entry daemon has no other upstream left to try. The request may then be
+    // queued without its context being held, and is refused if the wait would be too long.
+    bool isFinalAttempt { false };
 };
 
-enum class AnswerKind : uint8_t {
+enum class LeaseResponseKind : uint8_t {
     Granted,
     Queued,
     Full,
@@ -46,36 +47,37 @@
     Refused,
 };
 
-struct Answer {
+// The owner's response to a LeaseRequest.
+struct LeaseResponse {
     LeaseId lease;
-    AnswerKind kind { AnswerKind::Full };
+    LeaseResponseKind kind { LeaseResponseKind::Full };
     bool holdsContext { false };
-    // For Queued, Full and Refused: how long a place is expected to take.
+    // For Queued, Full and Refused: the estimated wait for a slot.
     Microseconds estimate {};
-    // For Full: the upstream's load, to choose among several.
+    // For Full: the upstream's load, used to choose among several full upstreams.
     uint64_t load { 0 };
-    // For NotHeld: where the chat was sent on to.
+    // For NotHeld: the upstream that the chat has moved to, if known.
     std::optional<UpstreamId> movedTo;
-    // For Refused.
+    // Only set for Refused.
     RefusalReason reason { RefusalReason::OverCapacity };
 };
 
 enum class LeaseOutcome : uint8_t {
     Succeeded,
     Failed,
-    // The place was not used, or nothing can be said of the upstream.
+    // The slot was not used, or the outcome says nothing about the upstream's health.
     Unused,
 };
 
-// The request is over, or no longer waits.
-struct Release {
+// Ends a lease, or withdraws a queued request.
+struct LeaseRelease {
     LeaseId lease;
     LeaseOutcome outcome { LeaseOutcome::Unused };
 };
 
-// Leases that are still in use; also tells a new owner of leases that its
+// Renews leases that are still in use. Also informs a new owner of the leases that its
 // predecessor granted.
-struct Renew {
+struct LeaseRenewal {
     struct Entry {
         LeaseId lease;
         ChatId chat;
@@ -85,44 +87,43 @@
     std::vector<Entry> leases;
 };
 
-// The chat's first choice learns that the chat is now elsewhere.
-struct Moved {
+// Informs the owner of a chat's first-choice upstream that the chat was placed on another.
+struct ChatMoved {
     UpstreamId upstream;
     ChatId chat;
     UpstreamId to;
 };
 
-// The load that one owner counts in one pool. It rides along on other messages
-// and goes to a few daemons at random besides.
+// The total load and the number of the sender's owned upstreams in one pool. Piggybacked on
+// other messages and also sent to a few random daemons.
 struct PoolReport {
     PoolId pool;
     uint64_t load { 0 };
     uint64_t upstreams { 0 };
 };
 
-// What one daemon would like to send of an organisation's requests, to the
-// organisation's coordinator.
+// Reports one daemon's demand for an organisation to the organisation's coordinator.
 struct DemandReport {
     OrganisationId organisation;
-    // Thousandths of a request a second, refused ones included.
+    // In thousandths of a request per second, including refused requests.
     uint64_t arrivals { 0 };
     uint64_t inFlight { 0 };
 };
 
-// This daemon's part of the organisation's limits, in millionths.
+// The receiver's share of the organisation's limits, in millionths.
 struct DemandShare {
     OrganisationId organisation;
     uint64_t rateMillionths { 0 };
     uint64_t inFlightMillionths { 0 };
 };
 
-using RoutingMessage = std::variant<Ask, Answer, Release, Renew, Moved, PoolReport, DemandReport, DemandShare>;
+using RoutingMessage = std::variant<LeaseRequest, LeaseResponse, LeaseRelease, LeaseRenewal, ChatMoved, PoolReport, DemandReport, DemandShare>;
 
-// Several messages to one daemon travel in one datagram.
+// Encodes messages to one daemon into one datagram.
 std::string encodeMessages(std::vector<RoutingMessage> const&);
 
-// Both ends are needed to complete the ids of leases. Error: Malformed; nothing
-// of a damaged datagram is used.
+// Both daemons' ids are needed because lease ids are sent without the entry daemon's id.
+// Error: Malformed, in which case the whole datagram is discarded.
 Result<std::vector<RoutingMessage>> decodeMessages(std::string_view bytes, VMId from, VMId self);
 
 }
--- a/Libraries/LibRouting/UpstreamOwner.cpp
+++ b/Libraries/LibRouting/UpstreamOwner.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-    // Longer than an upstream's report lags behind.
+    // Must exceed the lag of the upstreams' load reports.
     constexpr Microseconds reportWindow { 2500000 };
     constexpr double intervalSmoothing = 0.1;
-    constexpr double longestInterval = 10;
-    // The share of an upstream's absolute limit that is kept for urgent requests.
+    constexpr double maxReleaseIntervalSeconds = 10;
+    // Share of maxInFlight that is reserved for urgent requests.
     constexpr double urgentReserve = 0.05;
-    // While two owners may both admit, each leaves this share of the cap to the other.
-    constexpr double takeoverShare = 0.9;
-    constexpr size_t leastForNewChats = 2;
+    // Share of the cap that is used during a takeover, while the previous owner may still
+    // admit requests as well.
+    constexpr double takeoverCapShare = 0.9;
+    constexpr size_t minNewChatLimit = 2;
 
 }
 
@@ -29,11 +30,11 @@
     , m_lastRelease(now)
 {
     if (start == Start::FreshUpstream) {
-        m_returnedAt = now;
-        m_settledAt = now;
+        m_rampStart = now;
+        m_takeoverEnd = now;
     } else {
-        m_returnedAt = now - policy.returnRamp;
-        m_settledAt = now + settleDuration;
+        m_rampStart = now - policy.returnRamp;
+        m_takeoverEnd = now + takeoverDuration;
     }
 }
 
@@ -42,163 +43,163 @@
     m_policy = policy;
 }
 
-size_t UpstreamOwner::cap(double mean, Instant now) const
+size_t UpstreamOwner::cap(double meanLoad, Instant now) const
 {
-    return rampedCap(m_policy, mean, now - m_returnedAt);
+    return rampedCap(m_policy, meanLoad, now - m_rampStart);
 }
 
-// Until a new owner has been told of the leases that are open, it believes the
-// upstream's report, or, without one, that the upstream carries the mean; what it
-// grants itself comes on top.
-size_t UpstreamOwner::assumedLoad(double mean, Instant now) const
+// During a takeover the open leases are not all known yet. The load is then assumed to be
+// the upstream's last report, or the pool's mean without a report, plus the leases granted
+// since the takeover began.
+size_t UpstreamOwner::assumedLoad(double meanLoad, Instant now) const
 {
-    if (now >= m_settledAt)
+    if (now >= m_takeoverEnd)
         return load();
-    auto const reported = m_hasReport ? m_lastReport : static_cast<size_t>(std::ceil(mean));
-    return std::max(load(), reported + m_grantedUnsettled);
+    auto const reported = m_hasReport ? m_lastReport : static_cast<size_t>(std::ceil(meanLoad));
+    return std::max(load(), reported + m_grantedDuringTakeover);
 }
 
-bool UpstreamOwner::hasPlace(Priority priority, double mean, Instant now) const
+bool UpstreamOwner::hasSlot(Priority priority, double meanLoad, Instant now) const
 {
-    auto limit = cap(mean, now);
-    if (now < m_settledAt)
-        limit = std::max<size_t>(1, static_cast<size_t>(static_cast<double>(limit) * takeoverShare));
+    auto limit = cap(meanLoad, now);
+    if (now < m_takeoverEnd)
+        limit = std::max<size_t>(1, static_cast<size_t>(static_cast<double>(limit) * takeoverCapShare));
     if (priority == Priority::Bulk) {
-        auto const reserve = std::max<size_t>(1, static_cast<size_t>(static_cast<double>(m_policy.mostInFlight) * urgentReserve));
-        limit = std::min(limit, std::max<size_t>(1, m_policy.mostInFlight - std::min(reserve, m_policy.mostInFlight)));
+        auto const reserve = std::max<size_t>(1, static_cast<size_t>(static_cast<double>(m_policy.maxInFlight) * urgentReserve));
+        limit = std::min(limit, std::max<size_t>(1, m_policy.maxInFlight - std::min(reserve, m_policy.maxInFlight)));
     }
-    return assumedLoad(mean, now) < limit;
+    return assumedLoad(meanLoad, now) < limit;
 }
 
-// A chat without context is as well off anywhere, so it goes where the load is not
-// high; the places next to the cap are for chats whose context is here.
-bool UpstreamOwner::hasPlaceForNewChat(double mean, Instant now) const
+// A chat without a cached context gains nothing from this upstream in particular. The slots
+// next to the cap are therefore reserved for chats whose context the upstream holds.
+bool UpstreamOwner::hasSlotForNewChat(double meanLoad, Instant now) const
 {
-    auto const bound = mean * m_policy.loadMultiple * (1 - m_policy.admissionMargin);
-    auto const limit = std::max(0.0, bound - m_policy.newChatReserve * std::sqrt(mean));
-    return assumedLoad(mean, now) < std::max(leastForNewChats, static_cast<size_t>(limit));
+    auto const bound = meanLoad * m_policy.loadMultiple * (1 - m_policy.admissionMargin);
+    auto const limit = std::max(0.0, bound - m_policy.newChatReserve * std::sqrt(meanLoad));
+    return assumedLoad(meanLoad, now) < std::max(minNewChatLimit, static_cast<size_t>(limit));
 }
 
-Answer UpstreamOwner::grantedAnswer(LeaseId lease, bool holdsContext) const
+LeaseResponse UpstreamOwner::grantedResponse(LeaseId lease, bool holdsContext) const
 {
-    Answer answer;
-    answer.lease = lease;
-    answer.kind = AnswerKind::Granted;
-    answer.holdsContext = holdsContext;
-    return answer;
+    LeaseResponse response;
+    response.lease = lease;
+    response.kind = LeaseResponseKind::Granted;
+    response.holdsContext = holdsContext;
+    return response;
 }
 
 void UpstreamOwner::grant(LeaseId lease, VMId entry, ChatId chat, uint32_t contextTokens, Instant now)
 {
     m_leases[lease] = { entry, chat, contextTokens, now + leaseDuration };
-    m_grantedUnsettled += now < m_settledAt;
+    m_grantedDuringTakeover += now < m_takeoverEnd;
     m_contexts.hold(chat, contextTokens);
-    noteLoad(now);
+    updatePeakLeases(now);
 }
 
-void UpstreamOwner::noteLoad(Instant now)
+void UpstreamOwner::updatePeakLeases(Instant now)
 {
     if (now - m_windowStart >= reportWindow) {
-        m_mostBefore = now - m_windowStart < 2 * reportWindow ? m_mostRecently : m_leases.size();
-        m_mostRecently = m_leases.size();
+        m_previousPeakLeases = now - m_windowStart < 2 * reportWindow ? m_currentPeakLeases : m_leases.size();
+        m_currentPeakLeases = m_leases.size();
         m_windowStart = now;
     }
-    m_mostRecently = std::max(m_mostRecently, m_leases.size());
+    m_currentPeakLeases = std::max(m_currentPeakLeases, m_leases.size());
 }
 
-Answer UpstreamOwner::ask(Ask const& ask, VMId entry, double organisationWeight, double mean, Instant now)
+LeaseResponse UpstreamOwner::requestLease(LeaseRequest const& request, VMId entry, double organisationWeight, double meanLoad, Instant now)
 {
-    bool const isHeld = m_contexts.holds(ask.chat);
-    Answer answer;
-    answer.lease = ask.lease;
-    if (m_leases.contains(ask.lease))
-        return grantedAnswer(ask.lease, isHeld);
-    if (m_queue.contains(ask.lease)) {
-        answer.kind = AnswerKind::Queued;
-        answer.estimate = estimate(m_queue.size());
-        return answer;
+    bool const isHeld = m_contexts.holds(request.chat);
+    LeaseResponse response;
+    response.lease = request.lease;
+    if (m_leases.contains(request.lease))
+        return grantedResponse(request.lease, isHeld);
+    if (m_queue.contains(request.lease)) {
+        response.kind = LeaseResponseKind::Queued;
+        response.estimate = estimate(m_queue.size());
+        return response;
     }
     if (m_isLeaving) {
-        answer.kind = AnswerKind::Refused;
-        answer.reason = RefusalReason::NoUpstream;
-        return answer;
+        response.kind = LeaseResponseKind::Refused;
+        response.reason = RefusalReason::NoUpstream;
+        return response;
     }
-    auto const movedTo = m_contexts.movedTo(ask.chat);
-    if (!isHeld && (ask.mode == AskMode::OnlyIfHeld || (ask.mode == AskMode::Normal && movedTo))) {
-        answer.kind = AnswerKind::NotHeld;
-        answer.movedTo = movedTo;
-        return answer;
+    auto const movedTo = m_contexts.movedTo(request.chat);
+    if (!isHeld && (request.mode == LeaseRequestMode::OnlyIfHeld || (request.mode == LeaseRequestMode::Normal && movedTo))) {
+        response.kind = LeaseResponseKind::NotHeld;
+        response.movedTo = movedTo;
+        return response;
     }
-    // Who asks now does not go before those who wait, unless it is urgent.
-    bool const isInTurn = !m_queue.size() || ask.priority == Priority::Urgent;
-    bool const isWelcome = isHeld || ask.isLastTry || hasPlaceForNewChat(mean, now);
-    if (isInTurn && isWelcome && hasPlace(ask.priority, mean, now) && m_breaker.allows(now)) {
-        grant(ask.lease, entry, ask.chat, ask.contextTokens, now);
-        return grantedAnswer(ask.lease, isHeld);
+    // Only urgent requests may bypass queued ones.
+    bool const mayBypassQueue = !m_queue.size() || request.priority == Priority::Urgent;
+    bool const mayUseSlot = isHeld || request.isFinalAttempt || hasSlotForNewChat(meanLoad, now);
+    if (mayBypassQueue && mayUseSlot && hasSlot(request.priority, meanLoad, now) && m_breaker.allows(now)) {
+        grant(request.lease, entry, request.chat, request.contextTokens, now);
+        return grantedResponse(request.lease, isHeld);
     }
-    return enqueueOrRefuse(ask, entry, organisationWeight, isHeld, mean, now);
+    return enqueueOrRefuse(request, entry, organisationWeight, isHeld, meanLoad, now);
 }
 
-Answer UpstreamOwner::enqueueOrRefuse(Ask const& ask, VMId entry, double organisationWeight, bool isHeld, double mean, Instant now)
+LeaseResponse UpstreamOwner::enqueueOrRefuse(LeaseRequest const& request, VMId entry, double organisationWeight, bool isHeld, double meanLoad, Instant now)
 {
-    Answer answer;
-    answer.lease = ask.lease;
-    auto const ahead = m_queue.ahead(ask.priority, ask.organisation, organisationWeight);
-    bool const isFree = !m_queue.size() && hasPlace(ask.priority, mean, now);
-    answer.estimate = isFree ? Microseconds {} : estimate(ahead);
-    answer.load = load();
+    LeaseResponse response;
+    response.lease = request.lease;
+    auto const position = m_queue.countAhead(request.priority, request.organisation, organisationWeight);
+    bool const hasImmediateSlot = !m_queue.size() && hasSlot(request.priority, meanLoad, now);
+    response.estimate = hasImmediateSlot ? Microseconds {} : estimate(position);
+    response.load = load();
     if (!m_breaker.isClosed()) {
-        answer.kind = AnswerKind::Refused;
-        answer.reason = RefusalReason::CircuitOpen;
-        answer.estimate = m_breaker.remaining(now);
-        return answer;
+        response.kind = LeaseResponseKind::Refused;
+        response.reason = RefusalReason::CircuitOpen;
+        response.estimate = m_breaker.remaining(now);
+        return response;
     }
-    bool const mayWait = ask.waitFor > Microseconds {} && (isHeld || ask.isLastTry);
-    if (!mayWait || (!ask.isLastTry && answer.estimate > ask.waitFor)) {
-        answer.kind = AnswerKind::Full;
-        return answer;
+    bool const mayWait = request.maxWait > Microseconds {} && (isHeld || request.isFinalAttempt);
+    if (!mayWait || (!request.isFinalAttempt && response.estimate > request.maxWait)) {
+        response.kind = LeaseResponseKind::Full;
+        return response;
     }
-    if (answer.estimate > ask.waitFor) {
-        answer.kind = AnswerKind::Refused;
-        answer.reason = RefusalReason::DeadlineTooNear;
-        return answer;
+    if (response.estimate > request.maxWait) {
+        response.kind = LeaseResponseKind::Refused;
+        response.reason = RefusalReason::DeadlineTooNear;
+        return response;
     }
     if (m_queue.size() >= m_policy.queueLength) {
-        answer.kind = AnswerKind::Refused;
-        answer.reason = RefusalReason::QueueFull;
-        return answer;
+        response.kind = LeaseResponseKind::Refused;
+        response.reason = RefusalReason::QueueFull;
+        return response;
     }
-    m_queue.push({ ask.lease, entry, ask.organisation, organisationWeight, ask.priority, ask.chat, ask.contextTokens, now, now + ask.waitFor });
-    answer.kind = AnswerKind::Queued;
-    return answer;
+    m_queue.push({ request.lease, entry, request.organisation, organisationWeight, request.priority, request.chat, request.contextTokens, now, now + request.maxWait });
+    response.kind = LeaseResponseKind::Queued;
+    return response;
 }
 
-Microseconds UpstreamOwner::estimate(size_t ahead) const
+Microseconds UpstreamOwner::estimate(size_t position) const
 {
-    return Microseconds(static_cast<int64_t>(static_cast<double>(ahead + 1) * m_releaseInterval * 1e6));
+    return Microseconds(static_cast<int64_t>(static_cast<double>(position + 1) * m_releaseInterval * 1e6));
 }
 
-void UpstreamOwner::release(Release const& release, Instant now)
+void UpstreamOwner::release(LeaseRelease const& release, Instant now)
 {
     if (m_queue.remove(release.lease))
         return;
     if (!m_leases.erase(release.lease))
         return;
-    m_grantedUnsettled -= m_grantedUnsettled > 0;
+    m_grantedDuringTakeover -= m_grantedDuringTakeover > 0;
     if (release.outcome == LeaseOutcome::Failed)
         m_breaker.failed(now);
     else if (release.outcome == LeaseOutcome::Unused)
         m_breaker.trialReturned();
     else if (m_breaker.succeeded())
-        m_returnedAt = now;
+        m_rampStart = now;
     if (release.outcome == LeaseOutcome::Unused)
         return;
-    auto const interval = std::min(longestInterval, asSeconds(now - m_lastRelease));
+    auto const interval = std::min(maxReleaseIntervalSeconds, asSeconds(now - m_lastRelease));
     m_releaseInterval += intervalSmoothing * (interval - m_releaseInterval);
     m_lastRelease = now;
 }
 
-void UpstreamOwner::renew(Renew const& renew, VMId entry, Instant now)
+void UpstreamOwner::renew(LeaseRenewal const& renew, VMId entry, Instant now)
 {
     for (auto const& lease : renew.leases) {
         auto const found = m_leases.find(lease.lease);
@@ -208,14 +209,14 @@
         }
         m_leases[lease.lease] = { entry, lease.chat, lease.contextTokens, now + leaseDuration };
         m_contexts.hold(lease.chat, lease.contextTokens);
-        noteLoad(now);
+        updatePeakLeases(now);
     }
 }
 
-void UpstreamOwner::dropEntries(std::function<bool(VMId)> const& isGone)
+void UpstreamOwner::dropRequestsOfEntries(std::function<bool(VMId)> const& isGone)
 {
     std::erase_if(m_leases, [&](auto const& entry) { return isGone(entry.second.entry); });
-    m_queue.removeEntries(isGone);
+    m_queue.removeRequestsOfEntries(isGone);
 }
 
 void UpstreamOwner::expireLeases(Instant now)
@@ -223,39 +224,39 @@
     std::erase_if(m_leases, [&](auto const& entry) { return entry.second.expires <= now; });
 }
 
-std::vector<AddressedAnswer> UpstreamOwner::poll(double mean, Instant now)
+std::vector<AddressedResponse> UpstreamOwner::poll(double meanLoad, Instant now)
 {
     expireLeases(now);
-    noteLoad(now);
-    std::vector<AddressedAnswer> answers;
+    updatePeakLeases(now);
+    std::vector<AddressedResponse> responses;
     for (auto const& late : m_queue.removeExpired(now)) {
-        Answer answer;
-        answer.lease = late.lease;
-        answer.kind = AnswerKind::Full;
-        answer.estimate = estimate(m_queue.size());
-        answers.push_back({ late.entry, answer });
+        LeaseResponse response;
+        response.lease = late.lease;
+        response.kind = LeaseResponseKind::Full;
+        response.estimate = estimate(m_queue.size());
+        responses.push_back({ late.entry, response });
     }
-    while (m_queue.size() && !m_isLeaving && m_breaker.isClosed() && hasPlace(Priority::Urgent, mean, now)) {
-        auto const next = hasPlace(Priority::Bulk, mean, now) ? m_queue.pop() : m_queue.popUrgent();
+    while (m_queue.size() && !m_isLeaving && m_breaker.isClosed() && hasSlot(Priority::Urgent, meanLoad, now)) {
+        auto const next = hasSlot(Priority::Bulk, meanLoad, now) ? m_queue.pop() : m_queue.popUrgent();
         if (!next)
             break;
         bool const isHeld = m_contexts.holds(next->chat);
         grant(next->lease, next->entry, next->chat, next->contextTokens, now);
-        answers.push_back({ next->entry, grantedAnswer(next->lease, isHeld) });
+        responses.push_back({ next->entry, grantedResponse(next->lease, isHeld) });
     }
-    return answers;
+    return responses;
 }
 
-void UpstreamOwner::takeLoadReport(size_t inFlight, Instant now)
+void UpstreamOwner::handleLoadReport(size_t inFlight, Instant now)
 {
-    noteLoad(now);
-    auto const mostKnown = std::max(m_mostRecently, m_mostBefore);
-    m_unknownLoad = inFlight > mostKnown ? inFlight - mostKnown : 0;
+    updatePeakLeases(now);
+    auto const peakLeases = std::max(m_currentPeakLeases, m_previousPeakLeases);
+    m_unaccountedLoad = inFlight > peakLeases ? inFlight - peakLeases : 0;
     m_lastReport = inFlight;
     m_hasReport = true;
 }
 
-void UpstreamOwner::takeCacheEvent(ChatId chat, bool isStored, uint32_t tokens)
+void UpstreamOwner::handleCacheEvent(ChatId chat, bool isStored, uint32_t tokens)
 {
     if (isStored)
         m_contexts.hold(chat, tokens);
@@ -263,7 +264,7 @@
         m_contexts.forget(chat);
 }
 
-std::vector<WaitingRequest> UpstreamOwner::takeQueue()
+std::vector<WaitingRequest> UpstreamOwner::drainQueue()
 {
     std::vector<WaitingRequest> waiting;
     while (auto next = m_queue.pop())
--- a/Libraries/LibRouting/UpstreamOwner.h
+++ b/Libraries/LibRouting/UpstreamOwner.h
@@ -13,61 +13,62 @@
 
 namespace Stagepost {
 
-// An answer and the entry daemon that it goes to.
-struct AddressedAnswer {
+// A response and the entry daemon to send it to.
+struct AddressedResponse {
     VMId entry;
-    Answer answer;
+    LeaseResponse response;
 };
 
-// Counts the requests of one upstream exactly, as long as it is the only owner;
-// keeps its one queue; knows which chats the upstream holds. Where it can't know
-// (after a takeover, or when another daemon takes itself for the owner as well)
-// it goes by the upstream's own lagging report.
+// Tracks the leases, the queue and the cached contexts of one upstream. The lease count is
+// exact while there is a single owner. After a takeover, or while another daemon also
+// considers itself the owner, it is supplemented by the upstream's own load reports, which
+// lag behind.
 class UpstreamOwner {
 public:
     enum class Start {
-        // The upstream itself is new, so there are no leases from before.
+        // The upstream is new and has no earlier leases.
         FreshUpstream,
-        // Another daemon may have granted leases that are still in use.
+        // The previous owner may have granted leases that are still in use.
         Takeover,
     };
 
-    // How long a lease lasts without being renewed.
+    // Time after which a lease expires unless renewed.
     static constexpr Microseconds leaseDuration { 60000000 };
-    // How long a new owner waits to be told of its predecessor's leases.
-    static constexpr Microseconds settleDuration { 3000000 };
+    // Time for the entry daemons to inform a new owner of its predecessor's leases.
+    static constexpr Microseconds takeoverDuration { 3000000 };
     static constexpr size_t mostChats = 16384;
 
     UpstreamOwner(PoolPolicy const&, Start, Instant now);
 
-    // The mean is the pool's load per upstream, as far as it is known here.
-    Answer ask(Ask const&, VMId entry, double organisationWeight, double mean, Instant now);
-    void release(Release const&, Instant now);
-    void renew(Renew const&, VMId entry, Instant now);
-    // Ends the leases and the waiting of entry daemons that are gone.
-    void dropEntries(std::function<bool(VMId)> const& isGone);
+    // Grants, queues or refuses a request. meanLoad is this daemon's estimate of the pool's
+    // load per upstream.
+    LeaseResponse requestLease(LeaseRequest const&, VMId entry, double organisationWeight, double meanLoad, Instant now);
+    void release(LeaseRelease const&, Instant now);
+    void renew(LeaseRenewal const&, VMId entry, Instant now);
+    // Drops the leases and queued requests of entry daemons that have left the fleet.
+    void dropRequestsOfEntries(std::function<bool(VMId)> const& isGone);
 
-    // Grants what the queue's turn and the free places allow, and gives up what
-    // has waited too long.
-    std::vector<AddressedAnswer> poll(double mean, Instant now);
+    // Expires leases and queued requests, and grants free slots to the queue.
+    std::vector<AddressedResponse> poll(double meanLoad, Instant now);
 
-    // The upstream's own count of its requests, taken some time before now.
-    void takeLoadReport(size_t inFlight, Instant now);
-    void takeCacheEvent(ChatId, bool isStored, uint32_t tokens);
+    // Handles the upstream's own count of its requests, which lags behind.
+    void handleLoadReport(size_t inFlight, Instant now);
+    void handleCacheEvent(ChatId, bool isStored, uint32_t tokens);
     void setMoved(ChatId chat, UpstreamId to) { m_contexts.setMoved(chat, to); }
 
     void setPolicy(PoolPolicy const&);
     void setLeaving(bool isLeaving) { m_isLeaving = isLeaving; }
     bool isLeaving() const { return m_isLeaving; }
 
-    std::vector<WaitingRequest> takeQueue();
+    // Removes and returns all queued requests.
+    std::vector<WaitingRequest> drainQueue();
 
-    // Requests in flight, by leases and by what the upstream reports beyond them.
-    size_t load() const { return m_leases.size() + m_unknownLoad; }
+    // Number of open leases plus the requests that the upstream reports beyond them.
+    size_t load() const { return m_leases.size() + m_unaccountedLoad; }
     size_t queued() const { return m_queue.size(); }
-    // Whether the lease is open or waits here.
-    bool knows(LeaseId lease) const { return m_leases.contains(lease) || m_queue.contains(lease); }
-    size_t cap(double mean, Instant now) const;
+    // Whether the lease is open or its request is queued here.
+    bool hasLeaseOrRequest(LeaseId lease) const { return m_leases.contains(lease) || m_queue.contains(lease); }
+    size_t cap(double meanLoad, Instant now) const;
     ContextTable const& contexts() const { return m_contexts; }
 
 private:
@@ -78,35 +79,36 @@
         Instant expires;
     };
 
-    size_t assumedLoad(double mean, Instant now) const;
-    bool hasPlace(Priority, double mean, Instant now) const;
-    bool hasPlaceForNewChat(double mean, Instant now) const;
+    size_t assumedLoad(double meanLoad, Instant now) const;
+    bool hasSlot(Priority, double meanLoad, Instant now) const;
+    bool hasSlotForNewChat(double meanLoad, Instant now) const;
     void grant(LeaseId, VMId entry, ChatId, uint32_t contextTokens, Instant now);
-    Answer grantedAnswer(LeaseId, bool holdsContext) const;
-    Answer enqueueOrRefuse(Ask const&, VMId entry, double organisationWeight, bool isHeld, double mean, Instant now);
-    Microseconds estimate(size_t ahead) const;
+    LeaseResponse grantedResponse(LeaseId, bool holdsContext) const;
+    LeaseResponse enqueueOrRefuse(LeaseRequest const&, VMId entry, double organisationWeight, bool isHeld, double meanLoad, Instant now);
+    Microseconds estimate(size_t position) const;
     void expireLeases(Instant now);
-    void noteLoad(Instant now);
+    void updatePeakLeases(Instant now);
 
     PoolPolicy m_policy;
     bool m_isLeaving { false };
-    Instant m_returnedAt;
-    Instant m_settledAt;
+    // Start of the slow start, after the upstream's arrival or recovery.
+    Instant m_rampStart;
+    Instant m_takeoverEnd;
     std::unordered_map<LeaseId, OpenLease> m_leases;
     FairQueue m_queue;
     ContextTable m_contexts;
     CircuitBreaker m_breaker;
-    // What the upstream reports beyond the leases that were open in its report's time.
-    size_t m_unknownLoad { 0 };
+    // Requests in the last report in excess of the peak number of leases in the report window.
+    size_t m_unaccountedLoad { 0 };
     size_t m_lastReport { 0 };
-    // What this owner granted before it knew of its predecessor's leases.
-    size_t m_grantedUnsettled { 0 };
+    // Leases granted during the takeover, less all leases released since.
+    size_t m_grantedDuringTakeover { 0 };
     bool m_hasReport { false };
-    // The most leases that were open at once in this window and in the one before.
-    size_t m_mostRecently { 0 };
-    size_t m_mostBefore { 0 };
+    // Peak number of open leases in the current and in the previous report window.
+    size_t m_currentPeakLeases { 0 };
+    size_t m_previousPeakLeases { 0 };
     Instant m_windowStart;
-    // The mean time between two releases, for estimates of the wait.
+    // Moving average of the seconds between two releases, used to estimate waits.
     double m_releaseInterval { 0.1 };
     Instant m_lastRelease;
 };
