--- a/Libraries/LibRouting/AdmissionNode.h
+++ b/Libraries/LibRouting/AdmissionController.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <LibBase/Hooks.h>
-#include <LibRouting/EntryRole.h>
-#include <LibRouting/OwnerRole.h>
+#include <LibRouting/LeaseClient.h>
+#include <LibRouting/LeaseServer.h>
 #include <LibRouting/ShareExchange.h>
 #include <functional>
 #include <map>
@@ -11,16 +11,15 @@
 
 namespace Stagepost {
 
-// Everything that one daemon decides about placement and admission: its entry
-// role, its owner role and its part of the limits, and the datagrams between
-// them and those of other daemons.
-class AdmissionNode {
+// Makes one daemon's placement and admission decisions. Connects its lease client, its lease
+// server and its share of the organisation limits with those of the other daemons.
+class AdmissionController {
 public:
-    // How often tick() has to be called for batched messages to be in time.
+    // Interval at which tick() has to be called. Batched messages wait at most this long.
     static constexpr Microseconds tickInterval { 50000 };
 
     struct Hooks {
-        // Sends a datagram to another daemon; it may be lost.
+        // Sends a datagram to another daemon. Delivery is not guaranteed.
         std::function<void(VMId to, std::string bytes)> send;
         std::function<PoolPolicy(PoolId)> policyOf;
         std::function<OrganisationLimits(OrganisationId)> limitsOf;
@@ -28,35 +27,35 @@
         RandomHook random;
     };
 
-    AdmissionNode(VMId self, Hooks);
-    AdmissionNode(AdmissionNode const&) = delete;
-    AdmissionNode& operator=(AdmissionNode const&) = delete;
+    AdmissionController(VMId self, Hooks);
+    AdmissionController(AdmissionController const&) = delete;
+    AdmissionController& operator=(AdmissionController const&) = delete;
 
     void setView(RoutingView const&, Instant now);
 
-    // Error: Malformed; the datagram is then dropped whole.
+    // Error: Malformed, in which case the whole datagram is discarded.
     Result<void> receive(VMId from, std::string_view bytes, Instant now);
     void tick(Instant now);
 
-    EntryRole::RequestNumber acquire(PlacementRequest const&, Instant now, EntryRole::Placed);
-    void cancel(EntryRole::RequestNumber, Instant now);
+    LeaseClient::RequestNumber acquire(PlacementRequest const&, Instant now, LeaseClient::Placed);
+    void cancel(LeaseClient::RequestNumber, Instant now);
     void release(LeaseId, LeaseOutcome, Instant now);
 
     std::optional<Refusal> admitOrganisation(OrganisationId, Instant now);
     void organisationFinished(OrganisationId organisation) { m_shares.finished(organisation); }
 
-    // Says that the settings have changed.
+    // Reloads the policies and limits after a change of the settings.
     void refreshSettings();
 
-    OwnerRole& owners() { return m_owners; }
-    OwnerRole const& owners() const { return m_owners; }
-    EntryRole const& entries() const { return m_entries; }
+    LeaseServer& leaseServer() { return m_leaseServer; }
+    LeaseServer const& leaseServer() const { return m_leaseServer; }
+    LeaseClient const& leaseClient() const { return m_leaseClient; }
     RoutingView const& view() const { return m_view; }
 
 private:
-    void queue(VMId to, RoutingMessage, bool isUrgent);
+    void enqueue(VMId to, RoutingMessage, bool isUrgent);
     void deliver(VMId from, RoutingMessage const&, Instant now);
-    void flush(Instant now, bool everything);
+    void flush(Instant now, bool includeBatched);
 
     VMId m_self;
     Hooks m_hooks;
@@ -67,8 +66,8 @@
         bool isUrgent { false };
     };
     std::map<VMId, Outgoing> m_outgoing;
-    OwnerRole m_owners;
-    EntryRole m_entries;
+    LeaseServer m_leaseServer;
+    LeaseClient m_leaseClient;
     ShareExchange m_shares;
 };
 
--- a/Libraries/LibRouting/Forward.h
+++ b/Libraries/LibRouting/Forward.h
@@ -2,15 +2,15 @@
 
 namespace Stagepost {
 
+class AdmissionController;
 class AdmissionGate;
-class AdmissionNode;
 class CircuitBreaker;
 class ContextTable;
-class EntryRole;
 class FairQueue;
+class LeaseClient;
+class LeaseServer;
 class LoadExchange;
 class OrganisationLimiter;
-class OwnerRole;
 class RetryPolicy;
 class RoutingView;
 class ShareExchange;
--- a/Libraries/LibRouting/OwnerRole.cpp
+++ b/Libraries/LibRouting/LeaseServer.cpp
@@ -1,20 +1,20 @@
-#include <LibRouting/OwnerRole.h>
+#include <LibRouting/LeaseServer.h>
 
 namespace Stagepost {
 
-OwnerRole::OwnerRole(Hooks hooks)
+LeaseServer::LeaseServer(Hooks hooks)
     : m_hooks(std::move(hooks))
-    , m_loads(m_hooks.sendLater, m_hooks.random)
+    , m_loads(m_hooks.sendBatched, m_hooks.random)
 {
 }
 
-UpstreamOwner* OwnerRole::find(UpstreamId id)
+UpstreamOwner* LeaseServer::find(UpstreamId id)
 {
     auto const found = m_owned.find(id);
     return found == m_owned.end() ? nullptr : &found->second.owner;
 }
 
-void OwnerRole::setView(RoutingView const& view, Instant now)
+void LeaseServer::setView(RoutingView const& view, Instant now)
 {
     for (auto entry = m_owned.begin(); entry != m_owned.end();) {
         if (view.ownerOf(entry->first) == view.self()) {
@@ -28,84 +28,84 @@
         if (view.ownerOf(upstream.id) != view.self())
             continue;
         if (!m_owned.contains(upstream.id)) {
-            bool const isFresh = m_hasView && !m_view.find(upstream.id);
-            auto const start = isFresh ? UpstreamOwner::Start::FreshUpstream : UpstreamOwner::Start::Takeover;
+            bool const isNewUpstream = m_hasView && !m_view.find(upstream.id);
+            auto const start = isNewUpstream ? UpstreamOwner::Start::FreshUpstream : UpstreamOwner::Start::Takeover;
             m_owned.emplace(upstream.id, Owned { upstream.pool, UpstreamOwner(m_hooks.policyOf(upstream.pool), start, now) });
         }
         m_owned.at(upstream.id).owner.setLeaving(upstream.isLeaving);
     }
     for (auto& [id, owned] : m_owned)
-        owned.owner.dropEntries([&](VMId entry) { return !view.hasDaemon(entry); });
+        owned.owner.dropRequestsOfEntries([&](VMId entry) { return !view.hasDaemon(entry); });
     m_view = view;
     m_hasView = true;
-    sumLoads();
+    updateOwnLoads();
 }
 
-// Those who wait are told to ask the successor. The leases themselves it learns
-// from the entry daemons that hold them, who know them best.
-void OwnerRole::handOver(Owned& owned)
+// Redirects the queued requests to the new owner. The new owner learns of the open leases
+// from the entry daemons that hold them, not from here.
+void LeaseServer::handOver(Owned& owned)
 {
-    for (auto const& waiting : owned.owner.takeQueue()) {
-        Answer answer;
-        answer.lease = waiting.lease;
-        answer.kind = AnswerKind::NotOwner;
-        m_hooks.send(waiting.entry, answer);
+    for (auto const& waiting : owned.owner.drainQueue()) {
+        LeaseResponse response;
+        response.lease = waiting.lease;
+        response.kind = LeaseResponseKind::NotOwner;
+        m_hooks.send(waiting.entry, response);
     }
 }
 
-void OwnerRole::take(Ask const& ask, VMId from, Instant now)
+void LeaseServer::handle(LeaseRequest const& request, VMId from, Instant now)
 {
-    auto const found = m_owned.find(ask.upstream);
+    auto const found = m_owned.find(request.upstream);
     if (found == m_owned.end()) {
-        Answer answer;
-        answer.lease = ask.lease;
-        answer.kind = AnswerKind::NotOwner;
-        m_hooks.send(from, answer);
+        LeaseResponse response;
+        response.lease = request.lease;
+        response.kind = LeaseResponseKind::NotOwner;
+        m_hooks.send(from, response);
         return;
     }
     auto& owned = found->second;
-    auto const weight = m_hooks.weightOf(ask.organisation);
-    m_hooks.send(from, owned.owner.ask(ask, from, weight, m_loads.mean(owned.pool, now), now));
+    auto const weight = m_hooks.weightOf(request.organisation);
+    m_hooks.send(from, owned.owner.requestLease(request, from, weight, m_loads.mean(owned.pool, now), now));
     m_loads.rideAlong(owned.pool, from, now);
 }
 
-OwnerRole::Owned* OwnerRole::findLease(LeaseId lease)
+LeaseServer::Owned* LeaseServer::findByLease(LeaseId lease)
 {
     for (auto& [id, owned] : m_owned) {
-        if (owned.owner.knows(lease))
+        if (owned.owner.hasLeaseOrRequest(lease))
             return &owned;
     }
     return nullptr;
 }
 
-void OwnerRole::take(Release const& release, Instant now)
+void LeaseServer::handle(LeaseRelease const& release, Instant now)
 {
-    auto* owned = findLease(release.lease);
+    auto* owned = findByLease(release.lease);
     if (!owned)
         return;
     owned->owner.release(release, now);
     poll(*owned, now);
 }
 
-void OwnerRole::take(Renew const& renew, VMId from, Instant now)
+void LeaseServer::handle(LeaseRenewal const& renew, VMId from, Instant now)
 {
     if (auto* owner = find(renew.upstream))
         owner->renew(renew, from, now);
 }
 
-void OwnerRole::take(Moved const& moved)
+void LeaseServer::handle(ChatMoved const& moved)
 {
     if (auto* owner = find(moved.upstream))
         owner->setMoved(moved.chat, moved.to);
 }
 
-void OwnerRole::poll(Owned& owned, Instant now)
+void LeaseServer::poll(Owned& owned, Instant now)
 {
     for (auto const& addressed : owned.owner.poll(m_loads.mean(owned.pool, now), now))
-        m_hooks.send(addressed.entry, addressed.answer);
+        m_hooks.send(addressed.entry, addressed.response);
 }
 
-void OwnerRole::sumLoads()
+void LeaseServer::updateOwnLoads()
 {
     struct Sum {
         uint64_t load { 0 };
@@ -122,21 +122,21 @@
         m_loads.setOwnLoad(pool, sum.load, sum.upstreams);
 }
 
-void OwnerRole::tick(Instant now)
+void LeaseServer::tick(Instant now)
 {
     for (auto& [id, owned] : m_owned)
         poll(owned, now);
-    sumLoads();
+    updateOwnLoads();
     m_loads.tick(m_view, now);
 }
 
-void OwnerRole::refreshPolicies()
+void LeaseServer::refreshPolicies()
 {
     for (auto& [id, owned] : m_owned)
         owned.owner.setPolicy(m_hooks.policyOf(owned.pool));
 }
 
-size_t OwnerRole::queued() const
+size_t LeaseServer::queued() const
 {
     size_t total = 0;
     for (auto const& [id, owned] : m_owned)
--- a/Libraries/LibRouting/OwnerRole.h
+++ b/Libraries/LibRouting/LeaseServer.h
@@ -12,8 +12,8 @@
 
 namespace Stagepost {
 
-// The upstreams that this daemon owns, by its own view.
-class OwnerRole {
+// Serves lease requests for the upstreams that this daemon owns according to its view.
+class LeaseServer {
 public:
     using Send = std::function<void(VMId to, RoutingMessage)>;
     using PolicyOf = std::function<PoolPolicy(PoolId)>;
@@ -21,22 +21,23 @@
 
     struct Hooks {
         Send send;
-        // Sends when something else goes to the same daemon, or soon.
-        Send sendLater;
+        // Sends with the next datagram to the same daemon, or at the next tick.
+        Send sendBatched;
         PolicyOf policyOf;
         WeightOf weightOf;
         RandomHook random;
     };
 
-    explicit OwnerRole(Hooks);
+    explicit LeaseServer(Hooks);
 
-    // Takes over what this daemon owns now, and hands over what it owns no more.
+    // Takes over the upstreams that this daemon now owns, and hands over those that it no
+    // longer owns.
     void setView(RoutingView const&, Instant now);
 
-    void take(Ask const&, VMId from, Instant now);
-    void take(Release const&, Instant now);
-    void take(Renew const&, VMId from, Instant now);
-    void take(Moved const&);
+    void handle(LeaseRequest const&, VMId from, Instant now);
+    void handle(LeaseRelease const&, Instant now);
+    void handle(LeaseRenewal const&, VMId from, Instant now);
+    void handle(ChatMoved const&);
     LoadExchange& loads() { return m_loads; }
 
     void tick(Instant now);
@@ -51,11 +52,11 @@
         PoolId pool;
         UpstreamOwner owner;
     };
+
     void handOver(Owned&);
     void poll(Owned&, Instant now);
-
-    Owned* findLease(LeaseId);
-    void sumLoads();
+    Owned* findByLease(LeaseId);
+    void updateOwnLoads();
 
     Hooks m_hooks;
     LoadExchange m_loads;
--- a/Libraries/LibRouting/Routing.h
+++ b/Libraries/LibRouting/Routing.h
@@ -1,29 +1,29 @@
 #pragma once
 
-// The public header of LibRouting: where a request goes, when it may start, what
-// is refused and what is tried again. Nothing in it opens a socket, reads a clock
-// or starts a thread; it takes messages and the time, and gives decisions.
+// The public header of LibRouting, which decides on placement, admission, refusals and
+// retries. The library opens no sockets, reads no clock and starts no threads. Callers pass
+// in messages and the current time.
 
 #include <LibRouting/AdmissionCap.h>
+#include <LibRouting/AdmissionController.h>
 #include <LibRouting/AdmissionGate.h>
-#include <LibRouting/AdmissionNode.h>
 #include <LibRouting/CircuitBreaker.h>
 #include <LibRouting/ColdBound.h>
 #include <LibRouting/ContextHolders.h>
 #include <LibRouting/ContextTable.h>
 #include <LibRouting/CrashExchange.h>
 #include <LibRouting/CrashSuspects.h>
-#include <LibRouting/EntryRole.h>
 #include <LibRouting/FairQueue.h>
 #include <LibRouting/HolderExchange.h>
 #include <LibRouting/HolderMessage.h>
 #include <LibRouting/InFlightLedger.h>
+#include <LibRouting/LeaseClient.h>
+#include <LibRouting/LeaseServer.h>
 #include <LibRouting/LedgerExchange.h>
 #include <LibRouting/LedgerMessage.h>
 #include <LibRouting/LoadEstimate.h>
 #include <LibRouting/LoadExchange.h>
 #include <LibRouting/OrganisationLimiter.h>
-#include <LibRouting/OwnerRole.h>
 #include <LibRouting/PlacementRequest.h>
 #include <LibRouting/PlacementRule.h>
 #include <LibRouting/PoolPolicy.h>
