--- a/Tests/LibRouting/FakeFleet.h
+++ b/Tests/LibRouting/FakeFleet.h
@@ -10,7 +10,7 @@
 
 namespace Stagepost::Tests {
 
-// A few real admission nodes on a fake network with a manual clock.
+// Real admission controllers on a simulated network with a simulated clock.
 class FakeFleet {
 public:
     static PoolId pool() { return PoolId(1); }
@@ -23,27 +23,27 @@
             members.push_back({ VMId::fromName("entry-" + std::to_string(index)), HallId(1), false });
         for (size_t index = 0; index < daemons; ++index)
             addNode(index);
-        showAll();
+        applyViews();
         tick();
     }
 
-    void showAll()
+    void applyViews()
     {
-        for (auto& [id, node] : nodes)
-            node->setView({ id, HallId(1), views, members }, events.now());
+        for (auto& [id, controller] : controllers)
+            controller->setView({ id, HallId(1), views, members }, events.now());
     }
 
-    // Gives the nodes a changed policy.
+    // Changes the policy of all controllers.
     void setPolicy(PoolPolicy const& changed)
     {
         policy = changed;
-        for (auto& [id, node] : nodes)
-            node->refreshSettings();
+        for (auto& [id, controller] : controllers)
+            controller->refreshSettings();
     }
 
     void run(double seconds) { events.runUntil(events.now() + Measure::fromSeconds(seconds)); }
 
-    // Asks for a place; the answer is in the returned pointer once it is there.
+    // Requests a lease. The returned object holds the placement once it has been decided.
     std::shared_ptr<std::optional<Placement>> acquire(size_t entry, uint64_t chat, uint32_t tokens = 0, Priority priority = Priority::Bulk, uint64_t organisation = 1)
     {
         auto result = std::make_shared<std::optional<Placement>>();
@@ -54,7 +54,7 @@
         request.priority = priority;
         request.contextTokens = tokens;
         request.deadline = events.now() + Microseconds(20000000);
-        nodes.at(members[entry].id)->acquire(request, events.now(), [result](Placement const& placement) { *result = placement; });
+        controllers.at(members[entry].id)->acquire(request, events.now(), [result](Placement const& placement) { *result = placement; });
         return result;
     }
 
@@ -62,8 +62,8 @@
 
     UpstreamOwner* ownerOf(UpstreamId upstream)
     {
-        for (auto& [id, node] : nodes) {
-            if (auto* owner = isCut.contains(id) ? nullptr : node->owners().find(upstream))
+        for (auto& [id, controller] : controllers) {
+            if (auto* owner = disconnected.contains(id) ? nullptr : controller->leaseServer().find(upstream))
                 return owner;
         }
         return nullptr;
@@ -72,8 +72,8 @@
     Measure::EventQueue events;
     std::vector<UpstreamView> views;
     std::vector<DaemonView> members;
-    std::map<VMId, std::unique_ptr<AdmissionNode>> nodes;
-    std::set<VMId> isCut;
+    std::map<VMId, std::unique_ptr<AdmissionController>> controllers;
+    std::set<VMId> disconnected;
     PoolPolicy policy;
     OrganisationLimits limits { 1e6, 1e6 };
 
@@ -81,11 +81,11 @@
     void addNode(size_t index)
     {
         auto const id = members[index].id;
-        AdmissionNode::Hooks hooks {
+        AdmissionController::Hooks hooks {
             [this, id](VMId to, std::string const& bytes) {
                 events.after(Microseconds(500), [this, id, to, bytes] {
-                    if (!isCut.contains(to) && !isCut.contains(id) && nodes.contains(to))
-                        (void)nodes.at(to)->receive(id, bytes, events.now());
+                    if (!disconnected.contains(to) && !disconnected.contains(id) && controllers.contains(to))
+                        (void)controllers.at(to)->receive(id, bytes, events.now());
                 });
             },
             [this](PoolId) { return policy; },
@@ -93,16 +93,16 @@
             [](OrganisationId) { return 1.0; },
             [this] { return m_random(); },
         };
-        nodes[id] = std::make_unique<AdmissionNode>(id, std::move(hooks));
+        controllers[id] = std::make_unique<AdmissionController>(id, std::move(hooks));
     }
 
     void tick()
     {
-        for (auto& [id, node] : nodes) {
-            if (!isCut.contains(id))
-                node->tick(events.now());
+        for (auto& [id, controller] : controllers) {
+            if (!disconnected.contains(id))
+                controller->tick(events.now());
         }
-        events.after(AdmissionNode::tickInterval, [this] { tick(); });
+        events.after(AdmissionController::tickInterval, [this] { tick(); });
     }
 
     std::mt19937_64 m_random { 5 };
--- a/Tests/LibRouting/TestDecisions.cpp
+++ b/Tests/LibRouting/TestDecisions.cpp
@@ -18,7 +18,7 @@
     request.organisation = OrganisationId(organisation);
     request.priority = priority;
     request.weight = weight;
-    request.until = at(100);
+    request.expiresAt = at(100);
     return request;
 }
 
@@ -26,27 +26,27 @@
 
 BOOST_AUTO_TEST_SUITE(DecisionTests)
 
-BOOST_AUTO_TEST_CASE(TheCapIsNeverRoundedDownToNothingAndNeverOverTheMultiple)
+BOOST_AUTO_TEST_CASE(CapStaysBetweenMinCapAndLoadMultiple)
 {
     PoolPolicy policy;
-    BOOST_TEST(admissionCap(policy, 0) == policy.leastCap);
-    BOOST_TEST(rc::check("within the multiple from the least cap on, and able to grow", [policy](uint32_t thousandths) {
+    BOOST_TEST(admissionCap(policy, 0) == policy.minCap);
+    BOOST_TEST(rc::check("the cap is within loadMultiple and above the mean load", [policy](uint32_t thousandths) {
         auto const mean = 8 + static_cast<double>(thousandths % 200000) / 1000;
         auto const cap = static_cast<double>(admissionCap(policy, mean));
         RC_ASSERT(cap <= mean * policy.loadMultiple);
-        RC_ASSERT((cap > mean || cap == static_cast<double>(policy.mostInFlight)));
+        RC_ASSERT((cap > mean || cap == static_cast<double>(policy.maxInFlight)));
     }));
 }
 
-BOOST_AUTO_TEST_CASE(AReturnedUpstreamGrowsToItsShare)
+BOOST_AUTO_TEST_CASE(CapRampsUpAfterAnUpstreamReturns)
 {
     PoolPolicy policy;
-    BOOST_TEST(rampedCap(policy, 80, Microseconds(0)) == policy.leastCap);
+    BOOST_TEST(rampedCap(policy, 80, Microseconds(0)) == policy.minCap);
     BOOST_TEST(rampedCap(policy, 80, policy.returnRamp / 2) < admissionCap(policy, 80));
     BOOST_TEST(rampedCap(policy, 80, policy.returnRamp) == admissionCap(policy, 80));
 }
 
-BOOST_AUTO_TEST_CASE(UrgentGoesFirstAndBulkIsNotStarved)
+BOOST_AUTO_TEST_CASE(UrgentRequestsGoFirstWithoutStarvingBulkRequests)
 {
     FairQueue queue(0.1);
     for (uint64_t lease = 1; lease <= 100; ++lease) {
@@ -60,7 +60,7 @@
     BOOST_TEST(bulk <= 5u);
 }
 
-BOOST_AUTO_TEST_CASE(OrganisationsTakeTurnsByWeight)
+BOOST_AUTO_TEST_CASE(OrganisationsAreServedInProportionToTheirWeights)
 {
     FairQueue queue(0.1);
     for (uint64_t lease = 1; lease <= 300; ++lease)
@@ -74,22 +74,22 @@
     BOOST_TEST(second <= 61u);
 }
 
-BOOST_AUTO_TEST_CASE(ASurgeDoesNotDelayAnotherOrganisation)
+BOOST_AUTO_TEST_CASE(BurstOfOneOrganisationDoesNotDelayAnother)
 {
     FairQueue queue(0.1);
     for (uint64_t lease = 1; lease <= 500; ++lease)
         queue.push(waiting(lease, 1, Priority::Bulk));
     queue.push(waiting(9999, 2, Priority::Bulk));
-    BOOST_TEST(queue.ahead(Priority::Bulk, OrganisationId(3), 1) <= 2u);
+    BOOST_TEST(queue.countAhead(Priority::Bulk, OrganisationId(3), 1) <= 2u);
     int position = 0;
     while (queue.pop()->lease != LeaseId(9999))
         ++position;
     BOOST_TEST(position <= 1);
 }
 
-BOOST_AUTO_TEST_CASE(NothingIsLostOrServedTwiceInAQueue)
+BOOST_AUTO_TEST_CASE(QueueServesEachRequestExactlyOnce)
 {
-    BOOST_TEST(rc::check("what goes in comes out once", [](std::vector<uint16_t> const& requests) {
+    BOOST_TEST(rc::check("each pushed request is popped once", [](std::vector<uint16_t> const& requests) {
         FairQueue queue(0.2);
         std::set<uint64_t> in;
         for (size_t index = 0; index < requests.size(); ++index) {
@@ -104,44 +104,44 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(AWaitPastTheDeadlineIsRefusedAtOnce)
+BOOST_AUTO_TEST_CASE(RequestIsRefusedAtOnceIfItsWaitWouldPassTheDeadline)
 {
     PoolPolicy policy;
-    policy.mostInFlight = 1;
-    policy.leastCap = 1;
+    policy.maxInFlight = 1;
+    policy.minCap = 1;
     UpstreamOwner owner(policy, UpstreamOwner::Start::FreshUpstream, at(0));
-    Ask ask;
-    ask.priority = Priority::Urgent;
-    ask.isLastTry = true;
-    ask.waitFor = Microseconds(1000);
-    ask.lease = LeaseId(1);
-    owner.ask(ask, VMId(1), 1, 1, at(0));
-    ask.lease = LeaseId(2);
-    auto const answer = owner.ask(ask, VMId(1), 1, 1, at(0));
-    BOOST_TEST((answer.kind == AnswerKind::Refused && answer.reason == RefusalReason::DeadlineTooNear));
-    BOOST_TEST((answer.estimate > ask.waitFor));
+    LeaseRequest request;
+    request.priority = Priority::Urgent;
+    request.isFinalAttempt = true;
+    request.maxWait = Microseconds(1000);
+    request.lease = LeaseId(1);
+    owner.requestLease(request, VMId(1), 1, 1, at(0));
+    request.lease = LeaseId(2);
+    auto const response = owner.requestLease(request, VMId(1), 1, 1, at(0));
+    BOOST_TEST((response.kind == LeaseResponseKind::Refused && response.reason == RefusalReason::DeadlineTooNear));
+    BOOST_TEST((response.estimate > request.maxWait));
 }
 
-BOOST_AUTO_TEST_CASE(TheQueueIsBounded)
+BOOST_AUTO_TEST_CASE(QueueLengthIsBounded)
 {
     PoolPolicy policy;
-    policy.mostInFlight = 1;
-    policy.leastCap = 1;
+    policy.maxInFlight = 1;
+    policy.minCap = 1;
     policy.queueLength = 3;
     UpstreamOwner owner(policy, UpstreamOwner::Start::FreshUpstream, at(0));
-    Ask ask;
-    ask.isLastTry = true;
-    ask.waitFor = Microseconds(60000000);
-    AnswerKind last = AnswerKind::Granted;
+    LeaseRequest request;
+    request.isFinalAttempt = true;
+    request.maxWait = Microseconds(60000000);
+    LeaseResponseKind last = LeaseResponseKind::Granted;
     for (uint64_t lease = 1; lease <= 5; ++lease) {
-        ask.lease = LeaseId(lease);
-        last = owner.ask(ask, VMId(1), 1, 1, at(0)).kind;
+        request.lease = LeaseId(lease);
+        last = owner.requestLease(request, VMId(1), 1, 1, at(0)).kind;
     }
-    BOOST_TEST((last == AnswerKind::Refused));
+    BOOST_TEST((last == LeaseResponseKind::Refused));
     BOOST_TEST(owner.queued() == 3u);
 }
 
-BOOST_AUTO_TEST_CASE(AFailingUpstreamRestsAndComesBackSlowly)
+BOOST_AUTO_TEST_CASE(CircuitBreakerOpensOnFailuresAndAllowsSingleTrials)
 {
     CircuitBreaker breaker(3, Microseconds(1000000));
     for (int failure = 0; failure < 3; ++failure) {
@@ -158,102 +158,103 @@
     BOOST_TEST(breaker.allows(at(4.4)));
 }
 
-BOOST_AUTO_TEST_CASE(AReportAboveWhatIsKnownCountsAndOneBelowDoesNot)
+BOOST_AUTO_TEST_CASE(LoadReportCountsOnlyAboveTheKnownLeases)
 {
     UpstreamOwner owner({}, UpstreamOwner::Start::FreshUpstream, at(0));
-    owner.takeLoadReport(5, at(1));
+    owner.handleLoadReport(5, at(1));
     BOOST_TEST(owner.load() == 5u);
-    Ask ask;
-    ask.lease = LeaseId(1);
-    ask.priority = Priority::Urgent;
-    owner.ask(ask, VMId(1), 1, 100, at(1));
-    owner.takeLoadReport(0, at(2));
+    LeaseRequest request;
+    request.lease = LeaseId(1);
+    request.priority = Priority::Urgent;
+    owner.requestLease(request, VMId(1), 1, 100, at(1));
+    owner.handleLoadReport(0, at(2));
     BOOST_TEST(owner.load() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(ANewOwnerIsCarefulUntilItHasBeenTold)
+BOOST_AUTO_TEST_CASE(NewOwnerAssumesTheMeanLoadDuringATakeover)
 {
     UpstreamOwner owner({}, UpstreamOwner::Start::Takeover, at(0));
     size_t granted = 0;
     for (uint64_t lease = 1; lease <= 50; ++lease) {
-        Ask ask;
-        ask.lease = LeaseId(lease);
-        ask.priority = Priority::Urgent;
-        ask.isLastTry = true;
-        granted += owner.ask(ask, VMId(1), 1, 20, at(0.1)).kind == AnswerKind::Granted;
+        LeaseRequest request;
+        request.lease = LeaseId(lease);
+        request.priority = Priority::Urgent;
+        request.isFinalAttempt = true;
+        granted += owner.requestLease(request, VMId(1), 1, 20, at(0.1)).kind == LeaseResponseKind::Granted;
     }
-    // It takes the upstream for loaded by the mean, 20, and keeps below 0.9 of the cap, 23.
+    // The owner assumes the mean load of 20 and admits up to 0.9 times the cap of 23.
     BOOST_TEST(granted <= 1u);
 }
 
-BOOST_AUTO_TEST_CASE(RetriesKeepToVerdictDeadlineAndBudget)
+BOOST_AUTO_TEST_CASE(RetriesRespectVerdictDeadlineAndBudget)
 {
     RetryPolicy retries(0.1);
-    FailedTry failed;
-    failed.deadline = at(10);
-    failed.isRepeatable = false;
-    failed.verdict = Verdict::MayHaveRun;
-    BOOST_TEST((retries.decide(failed, at(1)) == RetryDecision::MayHaveRun));
-    failed.verdict = Verdict::NotRun;
-    BOOST_TEST((retries.decide(failed, at(1)) == RetryDecision::Retry));
-    BOOST_TEST((retries.decide(failed, at(11)) == RetryDecision::DeadlineTooNear));
-    failed.tries = 3;
-    BOOST_TEST((retries.decide(failed, at(1)) == RetryDecision::TooManyTries));
-    failed.tries = 1;
+    RetryContext context;
+    context.deadline = at(10);
+    context.isRepeatable = false;
+    context.verdict = Verdict::MayHaveRun;
+    BOOST_TEST((retries.decide(context, at(1)) == RetryDecision::MayHaveRun));
+    context.verdict = Verdict::NotRun;
+    BOOST_TEST((retries.decide(context, at(1)) == RetryDecision::Retry));
+    BOOST_TEST((retries.decide(context, at(11)) == RetryDecision::DeadlineTooNear));
+    context.attempts = 3;
+    BOOST_TEST((retries.decide(context, at(1)) == RetryDecision::TooManyTries));
+    context.attempts = 1;
     for (int request = 0; request < 1000; ++request)
-        retries.firstTry();
+        retries.recordFirstAttempt();
     int allowed = 0;
-    while (retries.decide(failed, at(1)) == RetryDecision::Retry)
+    while (retries.decide(context, at(1)) == RetryDecision::Retry)
         ++allowed;
-    BOOST_TEST(allowed <= static_cast<int>(RetryPolicy::mostSaved));
+    BOOST_TEST(allowed <= static_cast<int>(RetryPolicy::maxSavedRetries));
 }
 
-BOOST_AUTO_TEST_CASE(LimitsHoldOverTheFleet)
+BOOST_AUTO_TEST_CASE(OrganisationLimitHoldsAcrossTheFleet)
 {
     Tests::FakeFleet fleet(5, 1);
     fleet.limits = { 20, 1e6 };
     fleet.run(1);
     size_t admitted = 0;
-    // Ten times the limit, nearly all of it through one daemon.
+    // Sends ten times the limit, 90 % of it through one daemon.
     for (int step = 0; step < 6000; ++step) {
         auto const entry = step % 10 == 0 ? 1 : 0;
-        auto& node = *fleet.nodes.at(fleet.members[entry].id);
-        if (!node.admitOrganisation(OrganisationId(1), fleet.events.now()) && fleet.events.now() > at(11))
+        auto& controller = *fleet.controllers.at(fleet.members[entry].id);
+        if (!controller.admitOrganisation(OrganisationId(1), fleet.events.now()) && fleet.events.now() > at(11))
             ++admitted;
-        node.organisationFinished(OrganisationId(1));
+        controller.organisationFinished(OrganisationId(1));
         fleet.run(0.005);
     }
-    // 20 s of the 30 are counted: 400, and at least three quarters of that are used.
+    // The limit allows 400 requests in the counted 20 s of the 30 s. At least three quarters
+    // must be used.
     BOOST_TEST(admitted <= 420u);
     BOOST_TEST(admitted >= 300u);
 }
 
-BOOST_AUTO_TEST_CASE(MessagesSurviveTheWayAndDamageIsNoticed)
+BOOST_AUTO_TEST_CASE(MessagesRoundTripAndMalformedDatagramsAreRejected)
 {
     VMId const entry { 0x1234567800000001 };
     VMId const owner { 2 };
-    Ask ask;
-    ask.lease = makeLeaseId(entry, 7);
-    ask.upstream = UpstreamId(3);
-    ask.chat = ChatId(4);
-    ask.mode = AskMode::OnlyIfHeld;
-    ask.isLastTry = true;
-    ask.waitFor = Microseconds(5000);
-    auto const bytes = encodeMessages({ ask, PoolReport { PoolId(1), 5, 2 } });
+    LeaseRequest request;
+    request.lease = makeLeaseId(entry, 7);
+    request.upstream = UpstreamId(3);
+    request.chat = ChatId(4);
+    request.mode = LeaseRequestMode::OnlyIfHeld;
+    request.isFinalAttempt = true;
+    request.maxWait = Microseconds(5000);
+    auto const bytes = encodeMessages({ request, PoolReport { PoolId(1), 5, 2 } });
     auto const decoded = decodeMessages(bytes, entry, owner);
     BOOST_REQUIRE(decoded.has_value());
-    auto const& read = std::get<Ask>(decoded->at(0));
-    BOOST_TEST((read.lease == ask.lease && read.mode == ask.mode && read.isLastTry && read.waitFor == ask.waitFor));
-    BOOST_TEST(rc::check("garbage is refused or harmless", [entry, owner](std::string const& garbage) {
+    auto const& read = std::get<LeaseRequest>(decoded->at(0));
+    BOOST_TEST((read.lease == request.lease && read.mode == request.mode && read.isFinalAttempt && read.maxWait == request.maxWait));
+    BOOST_TEST(rc::check("random bytes are rejected or decode to a bounded number of messages", [entry, owner](std::string const& garbage) {
         auto const result = decodeMessages(garbage, entry, owner);
         bool const isHarmless = !result.has_value() || result->size() <= garbage.size();
         RC_ASSERT(isHarmless);
     }));
-    BOOST_TEST(rc::check("a damaged datagram never crashes a node", [bytes](uint16_t position, uint8_t change) {
+    BOOST_TEST(rc::check("a damaged datagram never crashes a controller", [bytes](uint16_t position, uint8_t change) {
         Tests::FakeFleet fleet(2, 1);
         auto damaged = bytes;
         damaged[position % damaged.size()] = static_cast<char>(change);
-        (void)fleet.nodes.begin()->second->receive(fleet.members[1].id, damaged, fleet.events.now());
+        (void)fleet.controllers.begin()->second->receive(fleet.members[1].id, damaged, fleet.events.now());
         fleet.run(0.1);
     }));
 }
--- a/Tests/LibRouting/TestPlacement.cpp
+++ b/Tests/LibRouting/TestPlacement.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(PlacementTests)
 
-BOOST_AUTO_TEST_CASE(OnlyTheChatsOfALostUpstreamMove)
+BOOST_AUTO_TEST_CASE(RemovingAnUpstreamMovesOnlyItsChats)
 {
     FakeFleet fleet(1, 10);
     RoutingView const before(fleet.members[0].id, HallId(1), fleet.views, fleet.members);
@@ -21,29 +21,29 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(ALeavingUpstreamIsNoCandidate)
+BOOST_AUTO_TEST_CASE(LeavingUpstreamIsNotACandidate)
 {
     FakeFleet fleet(1, 2);
     fleet.views[0].isLeaving = true;
-    fleet.showAll();
+    fleet.applyViews();
     for (uint64_t chat = 1; chat < 20; ++chat) {
         auto const result = fleet.acquire(0, chat);
         fleet.run(0.1);
         BOOST_TEST((fleet.leaseOf(result).upstream == fleet.views[1].id));
-        fleet.nodes.begin()->second->release(fleet.leaseOf(result).id, LeaseOutcome::Succeeded, fleet.events.now());
+        fleet.controllers.begin()->second->release(fleet.leaseOf(result).id, LeaseOutcome::Succeeded, fleet.events.now());
     }
 }
 
-BOOST_AUTO_TEST_CASE(AReturningChatFindsItsContextAfterDisplacement)
+BOOST_AUTO_TEST_CASE(DisplacedChatReturnsToTheUpstreamThatHoldsItsContext)
 {
     FakeFleet fleet(3, 6);
     fleet.run(4);
     constexpr uint64_t chat = 77;
     auto const first = RoutingView(fleet.members[0].id, HallId(1), fleet.views, fleet.members).candidates(FakeFleet::pool(), ChatId(chat), 1).front();
-    // The first choice is full of others, so the chat begins elsewhere.
+    // Fill the first choice with other chats, so that this chat is placed elsewhere.
     auto* owner = fleet.ownerOf(first);
     for (uint32_t count = 0; count < 300; ++count) {
-        Renew renew { first, { { LeaseId(1000 + count), ChatId(5000 + count), 0 } } };
+        LeaseRenewal renew { first, { { LeaseId(1000 + count), ChatId(5000 + count), 0 } } };
         owner->renew(renew, fleet.members[0].id, fleet.events.now());
     }
     auto const displaced = fleet.acquire(0, chat);
@@ -52,16 +52,17 @@
     BOOST_TEST((lease.upstream != first));
     for (uint32_t count = 0; count < 300; ++count)
         owner->release({ LeaseId(1000 + count), LeaseOutcome::Unused }, fleet.events.now());
-    fleet.nodes.at(fleet.members[0].id)->release(lease.id, LeaseOutcome::Succeeded, fleet.events.now());
+    fleet.controllers.at(fleet.members[0].id)->release(lease.id, LeaseOutcome::Succeeded, fleet.events.now());
     fleet.run(1);
-    // It returns through another daemon, without a hint, and the first choice is free.
+    // The chat continues through another daemon and without a hint, while the first choice has
+    // free slots.
     auto const returned = fleet.acquire(1, chat, 2000);
     fleet.run(1);
     BOOST_TEST((fleet.leaseOf(returned).upstream == lease.upstream));
     BOOST_TEST(fleet.leaseOf(returned).holdsContext);
 }
 
-BOOST_AUTO_TEST_CASE(AChatWhoseFirstChoiceIsNewIsFoundAtTheOldOne)
+BOOST_AUTO_TEST_CASE(ChatsStayAtTheUpstreamThatHoldsTheirContextWhenAnotherJoins)
 {
     FakeFleet fleet(2, 5);
     fleet.run(4);
@@ -70,22 +71,22 @@
         auto const result = fleet.acquire(0, chat);
         fleet.run(0.02);
         homes.emplace_back(chat, fleet.leaseOf(result).upstream);
-        fleet.nodes.at(fleet.members[0].id)->release(fleet.leaseOf(result).id, LeaseOutcome::Succeeded, fleet.events.now());
+        fleet.controllers.at(fleet.members[0].id)->release(fleet.leaseOf(result).id, LeaseOutcome::Succeeded, fleet.events.now());
     }
     fleet.views.push_back({ UpstreamId::fromName("engine-new"), FakeFleet::pool(), HallId(1), false, 1 });
-    fleet.showAll();
+    fleet.applyViews();
     fleet.run(12);
     size_t kept = 0;
     for (auto const& [chat, home] : homes) {
         auto const result = fleet.acquire(1, chat, 3000);
         fleet.run(0.1);
         kept += fleet.leaseOf(result).upstream == home;
-        fleet.nodes.at(fleet.members[1].id)->release(fleet.leaseOf(result).id, LeaseOutcome::Succeeded, fleet.events.now());
+        fleet.controllers.at(fleet.members[1].id)->release(fleet.leaseOf(result).id, LeaseOutcome::Succeeded, fleet.events.now());
     }
     BOOST_TEST(kept == homes.size());
 }
 
-BOOST_AUTO_TEST_CASE(TheBoundHoldsUnderLoad)
+BOOST_AUTO_TEST_CASE(NoUpstreamExceedsLoadMultipleUnderLoad)
 {
     FakeFleet fleet(4, 8);
     std::vector<std::shared_ptr<std::optional<Placement>>> results;
@@ -105,7 +106,7 @@
     BOOST_TEST(static_cast<double>(busiest) <= fleet.policy.loadMultiple * static_cast<double>(total) / 8);
 }
 
-BOOST_AUTO_TEST_CASE(ASuccessorKnowsTheLeasesThatItsPredecessorGranted)
+BOOST_AUTO_TEST_CASE(NewOwnerLearnsOfThePreviousOwnersLeases)
 {
     FakeFleet fleet(3, 3);
     fleet.run(4);
@@ -113,10 +114,10 @@
     for (uint64_t chat = 1; chat <= 15; ++chat)
         results.push_back(fleet.acquire(chat % 2, chat));
     fleet.run(1);
-    // The third daemon is lost; it was no entry of these.
-    fleet.isCut.insert(fleet.members[2].id);
+    // Disconnect the third daemon, through which none of the requests entered.
+    fleet.disconnected.insert(fleet.members[2].id);
     fleet.members.pop_back();
-    fleet.showAll();
+    fleet.applyViews();
     fleet.run(1);
     size_t total = 0;
     for (auto const& view : fleet.views)
@@ -124,22 +125,22 @@
     BOOST_TEST(total == 15u);
 }
 
-BOOST_AUTO_TEST_CASE(TwoOwnersAtOnceStayWithinWhatEachLeavesTheOther)
+BOOST_AUTO_TEST_CASE(TwoSimultaneousOwnersStopGrantingOnceLoadReportsArrive)
 {
     FakeFleet fleet(2, 1);
     PoolPolicy policy;
-    policy.mostInFlight = 20;
-    policy.leastCap = 20;
+    policy.maxInFlight = 20;
+    policy.minCap = 20;
     fleet.setPolicy(policy);
     fleet.run(4);
-    // Each daemon takes itself for the only one.
+    // Partition the daemons, so that each considers itself the owner.
     for (auto const& member : fleet.members)
-        fleet.nodes.at(member.id)->setView({ member.id, HallId(1), fleet.views, { member } }, fleet.events.now());
+        fleet.controllers.at(member.id)->setView({ member.id, HallId(1), fleet.views, { member } }, fleet.events.now());
     std::vector<std::shared_ptr<std::optional<Placement>>> results;
     for (uint64_t chat = 1; chat <= 60; ++chat)
         results.push_back(fleet.acquire(chat % 2, chat, 0, Priority::Urgent));
     fleet.run(0.5);
-    // The upstream's report is what each learns of the other by.
+    // The owners learn of each other's leases only from the upstream's load report.
     auto const inFlight = [&] {
         size_t count = 0;
         for (auto const& result : results)
@@ -147,7 +148,7 @@
         return count;
     };
     for (auto const& member : fleet.members)
-        fleet.nodes.at(member.id)->owners().find(fleet.views[0].id)->takeLoadReport(inFlight(), fleet.events.now());
+        fleet.controllers.at(member.id)->leaseServer().find(fleet.views[0].id)->handleLoadReport(inFlight(), fleet.events.now());
     auto const atReport = inFlight();
     for (uint64_t chat = 100; chat <= 160; ++chat)
         results.push_back(fleet.acquire(chat % 2, chat, 0, Priority::Urgent));
@@ -156,69 +157,69 @@
     BOOST_TEST(inFlight() == atReport);
 }
 
-BOOST_AUTO_TEST_CASE(ALostEntryDaemonGivesItsPlacesBack)
+BOOST_AUTO_TEST_CASE(LeasesOfALostEntryDaemonAreDropped)
 {
     FakeFleet fleet(3, 2);
     fleet.run(4);
     for (uint64_t chat = 1; chat <= 8; ++chat)
         fleet.acquire(2, chat);
     fleet.run(1);
-    fleet.isCut.insert(fleet.members[2].id);
+    fleet.disconnected.insert(fleet.members[2].id);
     fleet.members.pop_back();
-    fleet.showAll();
+    fleet.applyViews();
     fleet.run(1);
     BOOST_TEST(fleet.ownerOf(fleet.views[0].id)->load() + fleet.ownerOf(fleet.views[1].id)->load() == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(ALeaseThatIsNotRenewedLapses)
+BOOST_AUTO_TEST_CASE(LeaseExpiresUnlessRenewed)
 {
     UpstreamOwner owner({}, UpstreamOwner::Start::FreshUpstream, Instant());
-    Ask ask;
-    ask.lease = LeaseId(1);
-    BOOST_TEST((owner.ask(ask, VMId(1), 1, 0, Instant()).kind == AnswerKind::Granted));
+    LeaseRequest request;
+    request.lease = LeaseId(1);
+    BOOST_TEST((owner.requestLease(request, VMId(1), 1, 0, Instant()).kind == LeaseResponseKind::Granted));
     BOOST_TEST(owner.load() == 1u);
     owner.poll(0, Instant(UpstreamOwner::leaseDuration));
     BOOST_TEST(owner.load() == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(ALostOwnerIsWaitedForUntilItIsReplaced)
+BOOST_AUTO_TEST_CASE(RequestWaitsForTheReplacementOfALostOwner)
 {
     FakeFleet fleet(2, 1);
     fleet.run(4);
-    auto const owner = fleet.nodes.at(fleet.members[0].id)->view().ownerOf(fleet.views[0].id);
+    auto const owner = fleet.controllers.at(fleet.members[0].id)->view().ownerOf(fleet.views[0].id);
     size_t const other = owner == fleet.members[0].id ? 1 : 0;
-    fleet.isCut.insert(*owner);
+    fleet.disconnected.insert(*owner);
     auto const result = fleet.acquire(other, 1);
     fleet.run(2);
     BOOST_TEST(!result->has_value());
     fleet.members = { fleet.members[other] };
-    fleet.showAll();
+    fleet.applyViews();
     fleet.run(1);
     BOOST_TEST((result->has_value() && std::holds_alternative<Lease>(**result)));
 }
 
-BOOST_AUTO_TEST_CASE(ACancelledRequestLeavesNothingBehind)
+BOOST_AUTO_TEST_CASE(CancelledRequestIsRemovedFromTheQueue)
 {
     FakeFleet fleet(2, 1);
     PoolPolicy policy;
-    policy.mostInFlight = 2;
-    policy.leastCap = 2;
+    policy.maxInFlight = 2;
+    policy.minCap = 2;
     fleet.setPolicy(policy);
     fleet.run(4);
     for (uint64_t chat = 1; chat <= 2; ++chat)
         fleet.acquire(0, chat, 0, Priority::Urgent);
-    auto& node = *fleet.nodes.at(fleet.members[0].id);
+    auto& controller = *fleet.controllers.at(fleet.members[0].id);
     PlacementRequest request;
     request.pool = FakeFleet::pool();
     request.chat = ChatId(9);
     request.deadline = fleet.events.now() + Microseconds(20000000);
-    auto const number = node.acquire(request, fleet.events.now(), [](auto const&) { BOOST_ERROR("answered a cancelled request"); });
+    auto const number = controller.acquire(request, fleet.events.now(), [](auto const&) { BOOST_ERROR("the callback of a cancelled request was called"); });
     fleet.run(0.2);
     BOOST_TEST(fleet.ownerOf(fleet.views[0].id)->queued() == 1u);
-    node.cancel(number, fleet.events.now());
+    controller.cancel(number, fleet.events.now());
     fleet.run(0.2);
     BOOST_TEST(fleet.ownerOf(fleet.views[0].id)->queued() == 0u);
-    BOOST_TEST(node.entries().pendingCount() == 0u);
+    BOOST_TEST(controller.leaseClient().pendingCount() == 0u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/LibRouting/TestRequestAttempts.cpp
+++ b/Tests/LibRouting/TestRequestAttempts.cpp
@@ -10,21 +10,21 @@
     return Instant(Microseconds(static_cast<int64_t>(seconds * 1e6)));
 }
 
-struct World {
+struct Fixture {
     RetryBudget budget { { 0.2, 50, Seconds(10) } };
 
-    World() { budget.setShare(1); }
+    Fixture() { budget.setShare(1); }
 
-    RequestAttempts attempts(bool isRepeatable, size_t mostSends, bool isStream = false)
+    RequestAttempts attempts(bool isRepeatable, size_t maxSends, bool isStream = false)
     {
-        AttemptTerms terms;
-        terms.isRepeatable = isRepeatable;
-        terms.isStream = isStream;
-        terms.mostSends = mostSends;
-        terms.objective = Milliseconds(400);
-        terms.gapObjective = Milliseconds(300);
-        terms.limit = at(12);
-        return { terms, budget };
+        AttemptLimits limits;
+        limits.isRepeatable = isRepeatable;
+        limits.isStream = isStream;
+        limits.maxSends = maxSends;
+        limits.objective = Milliseconds(400);
+        limits.gapObjective = Milliseconds(300);
+        limits.deadline = at(12);
+        return { limits, budget };
     }
 };
 
@@ -55,136 +55,136 @@
 
 BOOST_AUTO_TEST_SUITE(RequestAttemptsTests)
 
-BOOST_AUTO_TEST_CASE(WhatMayHaveRunIsSentAgainOnlyWhereItMayRunTwice)
+BOOST_AUTO_TEST_CASE(RequestThatMayHaveRunIsSentAgainOnlyIfRepeatable)
 {
-    World world;
-    auto once = world.attempts(false, 2);
-    once.sent();
-    BOOST_TEST(!once.failed(UpstreamId(1), broken(Verdict::MayHaveRun), at(10)));
+    Fixture fixture;
+    auto once = fixture.attempts(false, 2);
+    once.recordSend();
+    BOOST_TEST(!once.recordFailure(UpstreamId(1), broken(Verdict::MayHaveRun), at(10)));
     BOOST_TEST((once.verdict() == Verdict::MayHaveRun));
-    auto again = world.attempts(true, 2);
-    again.sent();
-    BOOST_TEST(again.failed(UpstreamId(1), broken(Verdict::MayHaveRun), at(10)));
-    again.sent();
-    BOOST_TEST(!again.failed(UpstreamId(2), broken(Verdict::Ran), at(10)));
+    auto again = fixture.attempts(true, 2);
+    again.recordSend();
+    BOOST_TEST(again.recordFailure(UpstreamId(1), broken(Verdict::MayHaveRun), at(10)));
+    again.recordSend();
+    BOOST_TEST(!again.recordFailure(UpstreamId(2), broken(Verdict::Ran), at(10)));
 }
 
-BOOST_AUTO_TEST_CASE(WhatTheUpstreamHasNotRunIsSentAgainWithinTheRoutesSends)
+BOOST_AUTO_TEST_CASE(RejectedRequestIsSentAgainOnce)
 {
-    World world;
-    auto once = world.attempts(false, 2);
-    once.sent();
-    BOOST_TEST(once.failed(UpstreamId(1), rejected(), at(10)));
-    once.sent();
-    BOOST_TEST(!once.failed(UpstreamId(2), rejected(), at(10)));
+    Fixture fixture;
+    auto once = fixture.attempts(false, 2);
+    once.recordSend();
+    BOOST_TEST(once.recordFailure(UpstreamId(1), rejected(), at(10)));
+    once.recordSend();
+    BOOST_TEST(!once.recordFailure(UpstreamId(2), rejected(), at(10)));
     BOOST_TEST((once.verdict() == Verdict::NotRun));
 }
 
-// An address that was given to another service rejects what may run once; the
-// caller has seconds left, and others would run it.
-BOOST_AUTO_TEST_CASE(ARejectionIsNoRun)
+// Guards against giving up on a request that may run once because its upstream's address was
+// reassigned to another service, while there is time left and other upstreams would execute it.
+BOOST_AUTO_TEST_CASE(RejectionDoesNotCountAsExecution)
 {
-    World world;
-    auto once = world.attempts(false, 1);
-    once.sent();
-    BOOST_TEST(once.failed(UpstreamId(1), rejected(), at(10)));
-    once.sent();
+    Fixture fixture;
+    auto once = fixture.attempts(false, 1);
+    once.recordSend();
+    BOOST_TEST(once.recordFailure(UpstreamId(1), rejected(), at(10)));
+    once.recordSend();
     BOOST_TEST(once.sends() == 1u);
-    BOOST_TEST(!once.failed(UpstreamId(2), broken(Verdict::MayHaveRun), at(10)));
-    // A route's one more run stays there after a rejection.
-    auto again = world.attempts(true, 2);
-    again.sent();
-    BOOST_TEST(again.failed(UpstreamId(1), broken(Verdict::Ran), at(10)));
-    again.sent();
-    BOOST_TEST(again.failed(UpstreamId(2), rejected(), at(10)));
-    again.sent();
-    BOOST_TEST(!again.failed(UpstreamId(3), broken(Verdict::Ran), at(10)));
+    BOOST_TEST(!once.recordFailure(UpstreamId(2), broken(Verdict::MayHaveRun), at(10)));
+    // A rejection doesn't use up the second execution that the route allows.
+    auto again = fixture.attempts(true, 2);
+    again.recordSend();
+    BOOST_TEST(again.recordFailure(UpstreamId(1), broken(Verdict::Ran), at(10)));
+    again.recordSend();
+    BOOST_TEST(again.recordFailure(UpstreamId(2), rejected(), at(10)));
+    again.recordSend();
+    BOOST_TEST(!again.recordFailure(UpstreamId(3), broken(Verdict::Ran), at(10)));
     BOOST_TEST(again.rejections() == 1u);
 }
 
-// Rejections are arrivals, and the fleet's arrivals beyond the first are bounded.
-BOOST_AUTO_TEST_CASE(WithoutABudgetARejectionIsFinal)
+// Each attempt adds load, even a rejected one, so retries after rejections need budget.
+BOOST_AUTO_TEST_CASE(RejectionIsFinalWithoutRetryBudget)
 {
-    World world;
-    world.budget.setShare(0);
-    auto once = world.attempts(false, 1);
-    once.sent();
-    BOOST_TEST(!once.failed(UpstreamId(1), rejected(), at(10)));
+    Fixture fixture;
+    fixture.budget.setShare(0);
+    auto once = fixture.attempts(false, 1);
+    once.recordSend();
+    BOOST_TEST(!once.recordFailure(UpstreamId(1), rejected(), at(10)));
 }
 
-// In a queue that is long everywhere, moving on loses one's place in it.
-BOOST_AUTO_TEST_CASE(PatienceGrowsWithWhatAnswersTake)
+// If all queues are long, moving to another upstream gives up the position in the queue.
+BOOST_AUTO_TEST_CASE(FirstByteTimeoutGrowsWithUsualWaits)
 {
-    World world;
-    auto again = world.attempts(true, 2);
-    again.sent();
-    BOOST_TEST((again.patience(3, { Milliseconds(90), {} }, at(10)).firstByte == Milliseconds(200)));
-    BOOST_TEST((again.patience(3, { Milliseconds(700), {} }, at(10)).firstByte == Milliseconds(700)));
-    BOOST_TEST((again.patience(3, { Seconds(60), {} }, at(10)).firstByte == Milliseconds(2000)));
-    // A long prompt is read out, but not beyond the objective.
-    BOOST_TEST((again.patience(3, { Milliseconds(90), Milliseconds(350) }, at(10)).firstByte == Milliseconds(350)));
-    BOOST_TEST((again.patience(3, { Milliseconds(90), Seconds(60) }, at(10)).firstByte == Milliseconds(400)));
+    Fixture fixture;
+    auto again = fixture.attempts(true, 2);
+    again.recordSend();
+    BOOST_TEST((again.timeouts(3, { Milliseconds(90), {} }, at(10)).firstByte == Milliseconds(200)));
+    BOOST_TEST((again.timeouts(3, { Milliseconds(700), {} }, at(10)).firstByte == Milliseconds(700)));
+    BOOST_TEST((again.timeouts(3, { Seconds(60), {} }, at(10)).firstByte == Milliseconds(2000)));
+    // A long prompt extends the timeout up to the objective.
+    BOOST_TEST((again.timeouts(3, { Milliseconds(90), Milliseconds(350) }, at(10)).firstByte == Milliseconds(350)));
+    BOOST_TEST((again.timeouts(3, { Milliseconds(90), Seconds(60) }, at(10)).firstByte == Milliseconds(400)));
 }
 
-BOOST_AUTO_TEST_CASE(AnUpstreamWithoutAConnectionIsNoSend)
+BOOST_AUTO_TEST_CASE(ConnectFailureDoesNotCountAsSend)
 {
-    World world;
-    auto once = world.attempts(false, 1);
+    Fixture fixture;
+    auto once = fixture.attempts(false, 1);
     size_t tried = 0;
     do {
-        once.sent();
+        once.recordSend();
         ++tried;
-    } while (once.failed(UpstreamId(tried), unconnected(), at(10)));
+    } while (once.recordFailure(UpstreamId(tried), unconnected(), at(10)));
     BOOST_TEST(tried == 5u);
     BOOST_TEST(once.sends() == 0u);
     BOOST_TEST((once.verdict() == Verdict::NotRun));
 }
 
-BOOST_AUTO_TEST_CASE(NothingIsSentAgainForACallerThatLeftOrAfterTheLimit)
+BOOST_AUTO_TEST_CASE(NoRetryAfterTheCallerLeftOrTheDeadlinePassed)
 {
-    World world;
-    for (auto const change : { &FailedAttempt::isCallerLost, &FailedAttempt::reachedLimit }) {
-        auto attempts = world.attempts(true, 2);
-        attempts.sent();
+    Fixture fixture;
+    for (auto const change : { &FailedAttempt::isCallerLost, &FailedAttempt::deadlinePassed }) {
+        auto attempts = fixture.attempts(true, 2);
+        attempts.recordSend();
         auto attempt = broken(Verdict::MayHaveRun);
         attempt.*change = true;
-        BOOST_TEST(!attempts.failed(UpstreamId(1), attempt, at(10)));
+        BOOST_TEST(!attempts.recordFailure(UpstreamId(1), attempt, at(10)));
     }
-    auto late = world.attempts(true, 2);
-    late.sent();
-    BOOST_TEST(!late.failed(UpstreamId(1), broken(Verdict::MayHaveRun), at(11.999)));
+    auto late = fixture.attempts(true, 2);
+    late.recordSend();
+    BOOST_TEST(!late.recordFailure(UpstreamId(1), broken(Verdict::MayHaveRun), at(11.999)));
     BOOST_TEST(late.isOver(at(11.999)));
 }
 
-BOOST_AUTO_TEST_CASE(AnUpstreamIsLeftEarlyOnlyWhereAnotherMayBeAsked)
+BOOST_AUTO_TEST_CASE(TimeoutsAreShortOnlyIfAnotherUpstreamMayBeTried)
 {
-    World world;
-    auto again = world.attempts(true, 2, true);
-    again.sent();
-    auto const first = again.patience(3, {}, at(10));
+    Fixture fixture;
+    auto again = fixture.attempts(true, 2, true);
+    again.recordSend();
+    auto const first = again.timeouts(3, {}, at(10));
     BOOST_TEST((first.firstByte == Milliseconds(200)));
     BOOST_TEST((first.betweenParts == Milliseconds(900)));
-    BOOST_TEST((again.patience(1, {}, at(10)).firstByte == Milliseconds(2000)));
-    BOOST_TEST(again.failed(UpstreamId(1), broken(Verdict::MayHaveRun), at(10)));
-    again.sent();
-    BOOST_TEST((again.patience(3, {}, at(10)).firstByte == Milliseconds(2000)));
-    auto once = world.attempts(false, 1, true);
-    once.sent();
-    BOOST_TEST((once.patience(3, {}, at(10)).firstByte == Milliseconds(2000)));
-    BOOST_TEST((once.patience(3, {}, at(10)).betweenParts == Milliseconds(2000)));
-    BOOST_TEST((once.patience(3, {}, at(10)).connect == Milliseconds(50)));
+    BOOST_TEST((again.timeouts(1, {}, at(10)).firstByte == Milliseconds(2000)));
+    BOOST_TEST(again.recordFailure(UpstreamId(1), broken(Verdict::MayHaveRun), at(10)));
+    again.recordSend();
+    BOOST_TEST((again.timeouts(3, {}, at(10)).firstByte == Milliseconds(2000)));
+    auto once = fixture.attempts(false, 1, true);
+    once.recordSend();
+    BOOST_TEST((once.timeouts(3, {}, at(10)).firstByte == Milliseconds(2000)));
+    BOOST_TEST((once.timeouts(3, {}, at(10)).betweenParts == Milliseconds(2000)));
+    BOOST_TEST((once.timeouts(3, {}, at(10)).connect == Milliseconds(50)));
 }
 
-BOOST_AUTO_TEST_CASE(OnlyAConnectionThatHasJustComeUpProvesWhatIsInDoubt)
+BOOST_AUTO_TEST_CASE(UnrepeatableRequestsAndDoubtfulUpstreamsNeedFreshConnections)
 {
-    World world;
+    Fixture fixture;
     ServicePlacement::Choice sound { UpstreamId(1), {}, false };
     ServicePlacement::Choice doubtful { UpstreamId(1), {}, true };
-    BOOST_TEST(!world.attempts(true, 2).needsFreshConnection(sound));
-    BOOST_TEST(world.attempts(true, 2).needsFreshConnection(doubtful));
-    BOOST_TEST(!world.attempts(false, 1, true).needsFreshConnection(sound));
-    BOOST_TEST(world.attempts(false, 1, true).needsFreshConnection(doubtful));
-    BOOST_TEST(world.attempts(false, 1).needsFreshConnection(sound));
+    BOOST_TEST(!fixture.attempts(true, 2).needsFreshConnection(sound));
+    BOOST_TEST(fixture.attempts(true, 2).needsFreshConnection(doubtful));
+    BOOST_TEST(!fixture.attempts(false, 1, true).needsFreshConnection(sound));
+    BOOST_TEST(fixture.attempts(false, 1, true).needsFreshConnection(doubtful));
+    BOOST_TEST(fixture.attempts(false, 1).needsFreshConnection(sound));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
