--- a/Libraries/LibRouting/AdmissionController.cpp
+++ b/Libraries/LibRouting/AdmissionController.cpp
@@ -103,7 +103,7 @@
     flush(now, true);
 }
 
-LeaseClient::RequestNumber AdmissionController::acquire(PlacementRequest const& request, Instant now, LeaseClient::Placed placed)
+LeaseClient::RequestNumber AdmissionController::acquire(PlacementRequest const& request, Instant now, LeaseClient::PlacedCallback placed)
 {
     m_now = now;
     auto const number = m_leaseClient.acquire(request, now, std::move(placed));
--- a/Libraries/LibRouting/AdmissionController.h
+++ b/Libraries/LibRouting/AdmissionController.h
@@ -37,7 +37,7 @@
     Result<void> receive(VMId from, std::string_view bytes, Instant now);
     void tick(Instant now);
 
-    LeaseClient::RequestNumber acquire(PlacementRequest const&, Instant now, LeaseClient::Placed);
+    LeaseClient::RequestNumber acquire(PlacementRequest const&, Instant now, LeaseClient::PlacedCallback);
     void cancel(LeaseClient::RequestNumber, Instant now);
     void release(LeaseId, LeaseOutcome, Instant now);
 
--- a/Libraries/LibRouting/LeaseClient.cpp
+++ b/Libraries/LibRouting/LeaseClient.cpp
@@ -51,7 +51,7 @@
     return makeLeaseId(m_self, ++m_lastLeaseNumber);
 }
 
-LeaseClient::RequestNumber LeaseClient::acquire(PlacementRequest const& request, Instant now, Placed placed)
+LeaseClient::RequestNumber LeaseClient::acquire(PlacementRequest const& request, Instant now, PlacedCallback placed)
 {
     auto const number = ++m_lastRequest;
     PendingPlacement pending;
--- a/Libraries/LibRouting/LeaseClient.h
+++ b/Libraries/LibRouting/LeaseClient.h
@@ -25,7 +25,7 @@
 public:
     using Send = std::function<void(VMId to, RoutingMessage)>;
     using PolicyOf = std::function<PoolPolicy(PoolId)>;
-    using Placed = std::function<void(Placement const&)>;
+    using PlacedCallback = std::function<void(Placement const&)>;
     using RequestNumber = uint64_t;
 
     struct Hooks {
@@ -46,7 +46,7 @@
 
     // Calls the callback exactly once, unless the request is cancelled first. The callback
     // runs before this function returns only if there is no upstream to ask.
-    RequestNumber acquire(PlacementRequest const&, Instant now, Placed);
+    RequestNumber acquire(PlacementRequest const&, Instant now, PlacedCallback);
     void cancel(RequestNumber, Instant now);
     void release(LeaseId, LeaseOutcome);
 
@@ -82,7 +82,7 @@
     // A request that has no lease yet.
     struct PendingPlacement {
         PlacementRequest request;
-        Placed placed;
+        PlacedCallback placed;
         UpstreamId firstChoice;
         std::deque<Candidate> candidates;
         std::vector<UpstreamId> tried;
--- a/Libraries/LibRouting/UpstreamOwner.cpp
+++ b/Libraries/LibRouting/UpstreamOwner.cpp
@@ -24,7 +24,7 @@
 UpstreamOwner::UpstreamOwner(PoolPolicy const& policy, Start start, Instant now)
     : m_policy(policy)
     , m_queue(policy.bulkShare)
-    , m_contexts(mostChats, mostChats / 4)
+    , m_contexts(maxChats, maxChats / 4)
     , m_breaker(policy.breakerFailures, policy.breakerPause)
     , m_windowStart(now)
     , m_lastRelease(now)
--- a/Libraries/LibRouting/UpstreamOwner.h
+++ b/Libraries/LibRouting/UpstreamOwner.h
@@ -36,7 +36,7 @@
     static constexpr Microseconds leaseDuration { 60000000 };
     // Time for the entry daemons to inform a new owner of its predecessor's leases.
     static constexpr Microseconds takeoverDuration { 3000000 };
-    static constexpr size_t mostChats = 16384;
+    static constexpr size_t maxChats = 16384;
 
     UpstreamOwner(PoolPolicy const&, Start, Instant now);
 
