--- a/Examples/place-chats.cpp
+++ b/Examples/place-chats.cpp
@@ -15,14 +15,14 @@
     std::mt19937_64 random(1);
 
     // A fleet of one daemon sends nothing: it owns every upstream itself.
-    AdmissionNode::Hooks hooks {
+    AdmissionController::Hooks hooks {
         [](VMId, std::string const&) {},
         [](PoolId) { return PoolPolicy {}; },
         [](OrganisationId) { return OrganisationLimits {}; },
         [](OrganisationId) { return 1.0; },
         [&random] { return random(); },
     };
-    AdmissionNode node(self, std::move(hooks));
+    AdmissionController node(self, std::move(hooks));
     std::vector<UpstreamView> upstreams;
     for (auto const* name : { "engine-1", "engine-2", "engine-3" })
         upstreams.push_back({ UpstreamId::fromName(name), pool, hall, false, 1 });
--- a/Libraries/LibRouting/ShareExchange.cpp
+++ b/Libraries/LibRouting/ShareExchange.cpp
@@ -73,7 +73,7 @@
         if (now - local.reportedAt < reportInterval)
             continue;
         bool const mustReport = local.limiter.isNearShare();
-        auto const rate = local.limiter.takeArrivalRate(now - local.reportedAt);
+        auto const rate = local.limiter.updateArrivalRate(now - local.reportedAt);
         local.reportedAt = now;
         auto const arrivals = static_cast<uint64_t>(std::lround(rate * arrivalScale));
         auto const coordinator = m_view.coordinatorOf(organisation.value());
--- a/Meta/Measure/Placement/OwnersPolicy.cpp
+++ b/Meta/Measure/Placement/OwnersPolicy.cpp
@@ -1,7 +1,7 @@
 #include <Measure/Placement/Policy.h>
 
 #include <LibBase/Authenticator.h>
-#include <LibRouting/AdmissionNode.h>
+#include <LibRouting/AdmissionController.h>
 #include <Measure/ProcessUsage.h>
 #include <map>
 #include <unordered_map>
@@ -38,7 +38,7 @@
             , m_options(options)
         {
             for (size_t index = 0; index < world.daemons.size(); ++index) {
-                m_nodes.push_back(std::make_unique<AdmissionNode>(world.daemons[index].id, hooksFor(index)));
+                m_nodes.push_back(std::make_unique<AdmissionController>(world.daemons[index].id, hooksFor(index)));
                 m_nodes.back()->setView(world.viewOf(index), world.events.now());
             }
         }
@@ -101,7 +101,7 @@
         {
             for (size_t index = 0; index < m_nodes.size(); ++index) {
                 if (auto* owner = ownerAt(index, engine))
-                    owner->takeLoadReport(load, m_world.events.now());
+                    owner->handleLoadReport(load, m_world.events.now());
             }
         }
 
@@ -109,7 +109,7 @@
         {
             for (size_t index = 0; index < m_nodes.size(); ++index) {
                 if (auto* owner = ownerAt(index, engine))
-                    owner->takeCacheEvent(ChatId(event.chat), event.isStored, event.tokens);
+                    owner->handleCacheEvent(ChatId(event.chat), event.isStored, event.tokens);
             }
         }
 
@@ -135,10 +135,10 @@
             auto const& there = m_world.daemons[daemon];
             if (!there.isAlive || !m_world.isReachable(there.hall, m_world.engines[engine].hall))
                 return nullptr;
-            return m_nodes[daemon]->owners().find(m_world.engines[engine].id);
+            return m_nodes[daemon]->leaseServer().find(m_world.engines[engine].id);
         }
 
-        AdmissionNode::Hooks hooksFor(size_t daemon)
+        AdmissionController::Hooks hooksFor(size_t daemon)
         {
             return {
                 [this, daemon](VMId to, std::string const& bytes) { send(daemon, to, bytes); },
@@ -171,7 +171,7 @@
             policy.candidates = m_options.candidates;
             policy.newChatReserve = m_options.newChatReserve;
             policy.recomputePerToken = Microseconds(m_options.recomputeMicroseconds);
-            policy.mostInFlight = m_world.size.mostInFlight;
+            policy.maxInFlight = m_world.size.mostInFlight;
             return policy;
         }
 
@@ -189,7 +189,7 @@
         }
 
         PolicyOptions m_options;
-        std::vector<std::unique_ptr<AdmissionNode>> m_nodes;
+        std::vector<std::unique_ptr<AdmissionController>> m_nodes;
         std::unordered_map<uint64_t, OrganisationId> m_organisationOf;
         uint64_t m_bytes { 0 };
         uint64_t m_messages { 0 };
--- a/Meta/Measure/Placement/PlacementMeasurement.cpp
+++ b/Meta/Measure/Placement/PlacementMeasurement.cpp
@@ -97,10 +97,10 @@
     double bytesPerChat()
     {
         auto const before = mallinfo2().uordblks;
-        ContextTable table(UpstreamOwner::mostChats, UpstreamOwner::mostChats / 4);
-        for (uint64_t chat = 1; chat <= UpstreamOwner::mostChats; ++chat)
+        ContextTable table(UpstreamOwner::maxChats, UpstreamOwner::maxChats / 4);
+        for (uint64_t chat = 1; chat <= UpstreamOwner::maxChats; ++chat)
             table.hold(ChatId(mixHashes(chat, chat)), 1000);
-        return static_cast<double>(mallinfo2().uordblks - before) / static_cast<double>(UpstreamOwner::mostChats);
+        return static_cast<double>(mallinfo2().uordblks - before) / static_cast<double>(UpstreamOwner::maxChats);
     }
 
     void printResult(std::string const& scenario, FleetSize const& size, std::string const& policy, RunResult const& result, double clairvoyant)
--- a/Meta/Measure/Placement/StatelessPolicies.cpp
+++ b/Meta/Measure/Placement/StatelessPolicies.cpp
@@ -62,7 +62,7 @@
             PoolPolicy policy;
             policy.loadMultiple = m_options.loadMultiple;
             policy.admissionMargin = m_options.margin;
-            policy.mostInFlight = m_world.size.mostInFlight;
+            policy.maxInFlight = m_world.size.mostInFlight;
             auto const cap = static_cast<double>(admissionCap(policy, total / std::max(1.0, static_cast<double>(view.upstreams().size()))));
             for (auto const engine : order) {
                 if (loads[engine] < cap)
@@ -187,7 +187,7 @@
             PoolPolicy policy;
             policy.loadMultiple = m_options.loadMultiple;
             policy.admissionMargin = 0;
-            policy.mostInFlight = m_world.size.mostInFlight;
+            policy.maxInFlight = m_world.size.mostInFlight;
             auto const cap = admissionCap(policy, m_world.meanLoad());
             std::optional<size_t> holder;
             std::optional<size_t> emptiest;
--- a/Services/stagepostd/Daemon.cpp
+++ b/Services/stagepostd/Daemon.cpp
@@ -81,7 +81,7 @@
     m_vms.start();
     m_settings.start();
     m_watcher.start();
-    m_ticker.every(AdmissionNode::tickInterval, [this] { tick(); });
+    m_ticker.every(AdmissionController::tickInterval, [this] { tick(); });
     return {};
 }
 
@@ -146,7 +146,7 @@
     m_node.refreshSettings();
     m_metrics.setGauge("stagepost_upstreams", static_cast<double>(view.upstreams().size()));
     m_metrics.setGauge("stagepost_daemons", static_cast<double>(view.daemons().size()));
-    logEvent(LogLevel::Info, "view", { { "daemons", view.daemons().size() }, { "upstreams", view.upstreams().size() }, { "owned", m_node.owners().ownedCount() } });
+    logEvent(LogLevel::Info, "view", { { "daemons", view.daemons().size() }, { "upstreams", view.upstreams().size() }, { "owned", m_node.leaseServer().ownedCount() } });
 }
 
 void Daemon::tick()
@@ -203,9 +203,9 @@
 HttpReply Daemon::renderMetrics()
 {
     m_metrics.setGauge("stagepost_open_requests", static_cast<double>(m_server.openExchanges()));
-    m_metrics.setGauge("stagepost_open_leases", static_cast<double>(m_node.entries().openLeaseCount()));
-    m_metrics.setGauge("stagepost_owned_upstreams", static_cast<double>(m_node.owners().ownedCount()));
-    m_metrics.setGauge("stagepost_queued_requests", static_cast<double>(m_node.owners().queued()));
+    m_metrics.setGauge("stagepost_open_leases", static_cast<double>(m_node.leaseClient().openLeaseCount()));
+    m_metrics.setGauge("stagepost_owned_upstreams", static_cast<double>(m_node.leaseServer().ownedCount()));
+    m_metrics.setGauge("stagepost_queued_requests", static_cast<double>(m_node.leaseServer().queued()));
     m_metrics.setGauge("stagepost_control_bytes_sent", static_cast<double>(m_peers.socket().bytesSent()));
     m_metrics.setGauge("stagepost_control_messages_sent", static_cast<double>(m_peers.socket().messagesSent()));
     m_once.renderMetrics(m_metrics);
@@ -232,9 +232,9 @@
     status.isLogReachable = m_settings.isLogReachable();
     status.daemons = m_node.view().daemons().size();
     status.upstreams = m_node.view().upstreams().size();
-    status.ownedUpstreams = m_node.owners().ownedCount();
+    status.ownedUpstreams = m_node.leaseServer().ownedCount();
     status.openRequests = m_server.openExchanges();
-    status.queuedRequests = m_node.owners().queued();
+    status.queuedRequests = m_node.leaseServer().queued();
     return status;
 }
 
--- a/Services/stagepostd/Daemon.h
+++ b/Services/stagepostd/Daemon.h
@@ -6,7 +6,7 @@
 #include <LibProxy/HttpClient.h>
 #include <LibProxy/HttpServer.h>
 #include <LibProxy/Timer.h>
-#include <LibRouting/AdmissionNode.h>
+#include <LibRouting/AdmissionController.h>
 #include <LibRouting/RetryPolicy.h>
 #include <stagepostd/OnceGateway.h>
 #include <stagepostd/OperatorServer.h>
@@ -69,7 +69,7 @@
     HttpClient m_client;
     PeerChannel m_peers;
     Membership m_membership;
-    AdmissionNode m_node;
+    AdmissionController m_node;
     RetryPolicy m_retries;
     VMListFollower m_vms;
     SettingsFollower m_settings;
--- a/Services/stagepostd/GatewayFlow.cpp
+++ b/Services/stagepostd/GatewayFlow.cpp
@@ -18,16 +18,16 @@
     // the others are for requests in flight, which no daemon counts for the rest.
     constexpr double idleConnectionsShare = 0.5;
 
-    AttemptTerms termsOf(RoutedRequest const& request)
+    AttemptLimits termsOf(RoutedRequest const& request)
     {
         auto const& route = *request.route;
-        AttemptTerms terms;
+        AttemptLimits terms;
         terms.isRepeatable = route.isRepeatable();
         terms.isStream = route.kind == RequestKind::Stream;
-        terms.mostSends = route.mostAttempts;
+        terms.maxSends = route.mostAttempts;
         terms.objective = route.latencyObjective;
         terms.gapObjective = route.gapObjective;
-        terms.limit = request.receivedAt + std::min(route.timeout, request.call.timeLeft.value_or(route.timeout));
+        terms.deadline = request.receivedAt + std::min(route.timeout, request.call.timeLeft.value_or(route.timeout));
         return terms;
     }
 
@@ -64,7 +64,7 @@
 void GatewayFlow::start()
 {
     auto const now = m_services.loop.now();
-    m_service.retries.requested(now);
+    m_service.retries.recordRequest(now);
     auto const occupancy = m_service.placement.occupancy();
     if (m_service.gate.admits(occupancy, m_request.priority))
         place();
@@ -100,11 +100,11 @@
 bool GatewayFlow::maySend()
 {
     if (m_request.needsKey && !m_services.areKeysFresh()) {
-        refuse({ RefusalReason::SettingsTooOld, m_attempts.verdict(), "the configuration is too old to tell whether the key is good", m_attempts.timeToComeBack() });
+        refuse({ RefusalReason::SettingsTooOld, m_attempts.verdict(), "the configuration is too old to tell whether the key is good", m_attempts.retryAfter() });
         return false;
     }
     if (m_services.awaitsProof()) {
-        refuse({ RefusalReason::SettingsTooOld, m_attempts.verdict(), "this daemon stood still and has not learnt yet what has changed", m_attempts.timeToComeBack() });
+        refuse({ RefusalReason::SettingsTooOld, m_attempts.verdict(), "this daemon stood still and has not learnt yet what has changed", m_attempts.retryAfter() });
         return false;
     }
     if (m_attempts.isOver(m_services.loop.now())) {
@@ -240,8 +240,8 @@
     if (m_service.placement.hasCold(m_services.loop.now()))
         return { RefusalReason::QueueFull, m_attempts.verdict(), "the upstreams that are left have just started and take no more by now", std::chrono::duration_cast<Milliseconds>(coldWindow) };
     if (m_service.placement.restingCount(m_services.loop.now()))
-        return { RefusalReason::QueueFull, m_attempts.verdict(), "the upstreams that are left want rest", m_attempts.timeToComeBack() };
-    return { RefusalReason::NoUpstream, m_attempts.verdict(), "no upstream of the service is known", m_attempts.timeToComeBack() };
+        return { RefusalReason::QueueFull, m_attempts.verdict(), "the upstreams that are left want rest", m_attempts.retryAfter() };
+    return { RefusalReason::NoUpstream, m_attempts.verdict(), "no upstream of the service is known", m_attempts.retryAfter() };
 }
 
 // To each upstream of the service.
@@ -269,7 +269,7 @@
 
 ForwardPlan GatewayFlow::planFor(ServicePlacement::Choice const& choice, ServiceBoard::Target const& target, Instant now)
 {
-    auto const patience = m_attempts.patience(sizeForRetry(now), m_service.placement.usualWaits(m_request.call.prompt.tokens()), now);
+    auto const patience = m_attempts.timeouts(sizeForRetry(now), m_service.placement.usualWaits(m_request.call.prompt.tokens()), now);
     auto const* service = m_request.table->service(m_request.service);
     ForwardPlan plan;
     plan.upstream = target.endpoint;
@@ -285,7 +285,7 @@
     plan.holdBytes = heldAnswer;
     plan.progress = m_progress;
     plan.endsWithErrorEvent = false;
-    plan.limit = m_attempts.limit();
+    plan.limit = m_attempts.deadline();
     return plan;
 }
 
@@ -293,7 +293,7 @@
 {
     auto const upstream = choice.upstream;
     auto const now = m_services.loop.now();
-    m_attempts.sent();
+    m_attempts.recordSend();
     auto plan = planFor(choice, target, now);
     plan.judge = [weak = weak_from_this(), upstream](unsigned status, HttpFields const& headers) -> std::optional<HeadRejection> {
         auto const flow = weak.lock();
@@ -416,7 +416,7 @@
     noteOutcome(upstream, result);
     if (!result.failure) {
         m_service.placement.began(m_request.call.prompt.tokens(), result.firstByteAfter);
-        m_attempts.answered();
+        m_attempts.recordResponse();
         if (m_services.crashes.hasSuspects() && result.status < firstServerError)
             m_services.crashes.answered(fingerprint());
         m_services.metrics.count("stagepost_answers_total");
@@ -429,12 +429,12 @@
     attempt.verdict = result.verdict;
     attempt.isUnconnected = isUnconnected(result);
     attempt.isRejected = result.verdict == Verdict::NotRun && result.failure == RefusalReason::OverCapacity;
-    attempt.reachedLimit = result.reachedLimit;
+    attempt.deadlinePassed = result.reachedLimit;
     attempt.isCallerLost = isCallerLost(result);
-    if (m_attempts.failed(upstream, attempt, m_services.loop.now())) {
+    if (m_attempts.recordFailure(upstream, attempt, m_services.loop.now())) {
         log("sent-again", result, nameOf(*result.failure), m_attempts.verdict());
         m_services.metrics.countRetry(nameOf(*result.failure));
-        m_lastFailure = Refusal { *result.failure, m_attempts.verdict(), result.detail, m_attempts.timeToComeBack() };
+        m_lastFailure = Refusal { *result.failure, m_attempts.verdict(), result.detail, m_attempts.retryAfter() };
         place();
         return;
     }
@@ -445,7 +445,7 @@
 {
     bool const isCallerGone = isCallerLost(result);
     if (!isCallerGone && !result.answerStarted) {
-        refuse({ *result.failure, m_attempts.verdict(), result.detail, m_attempts.timeToComeBack() });
+        refuse({ *result.failure, m_attempts.verdict(), result.detail, m_attempts.retryAfter() });
         return;
     }
     m_services.metrics.countRefusal({ *result.failure, m_attempts.verdict(), result.detail, {} });
@@ -484,7 +484,7 @@
             { "status", result.status }, { "route", m_request.route->name }, { "service", m_request.service },
             { "organisation", m_request.organisation }, { "context", hexOf(m_request.call.prompt.sharedKey().value_or(0)) },
             { "upstream", m_instance }, { "context_source", m_contextSource }, { "placed_by", nameOf(m_placement.rule) }, { "counts_age_ms", m_placement.countsAge.count() / 1000 }, { "hold_ms", m_placement.hold.count() / 1000 }, { "owners_asked", m_placement.asks }, { "owner_counted", m_placement.counted }, { "owner_limit", m_placement.limit }, { "rest_left_ms", m_restLeft.count() / 1000 }, { "sends", m_attempts.sends() },
-            { "rejections", m_attempts.rejections() }, { "unconnected", m_attempts.unconnected() }, { "reused_connection", result.reusedConnection ? 1 : 0 },
+            { "rejections", m_attempts.rejections() }, { "unconnected", m_attempts.connectFailures() }, { "reused_connection", result.reusedConnection ? 1 : 0 },
             { "events", m_progress ? m_progress->events : 0 }, { "bytes", result.answerBytes },
             { "settings", m_request.table->version() }, { "settings_age_ms", m_services.settingsAge().count() / 1000 },
             { "first_byte_us", result.firstByteAfter.count() }, { "took_us", (now - m_request.receivedAt).count() }, { "detail", result.detail } });
--- a/Services/stagepostd/PlacementExplanation.cpp
+++ b/Services/stagepostd/PlacementExplanation.cpp
@@ -14,7 +14,7 @@
     if (pool == settings->poolByModel.end())
         return result;
     auto const id = chatIdOf(asked.chat, OrganisationId::fromName("organisations." + asked.organisation), pool->second);
-    auto const mean = from.node.owners().loads().mean(pool->second, now);
+    auto const mean = from.node.leaseServer().loads().mean(pool->second, now);
     auto const nameOfVM = [&](VMId vm) {
         auto const* entry = from.vms.find(vm);
         return entry ? entry->name : from.ownName;
@@ -26,7 +26,7 @@
         row.hall = entry ? entry->hall : "";
         if (auto const owner = from.node.view().ownerOf(upstream))
             row.owner = nameOfVM(*owner);
-        if (auto* owner = from.node.owners().find(upstream)) {
+        if (auto* owner = from.node.leaseServer().find(upstream)) {
             row.isOwnedHere = true;
             row.load = owner->load();
             row.cap = owner->cap(mean, now);
--- a/Services/stagepostd/PlacementExplanation.h
+++ b/Services/stagepostd/PlacementExplanation.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibPlatform/VMList.h>
-#include <LibRouting/AdmissionNode.h>
+#include <LibRouting/AdmissionController.h>
 #include <stagepostd/OperatorServer.h>
 #include <stagepostd/SettingsPolicies.h>
 
@@ -9,7 +9,7 @@
 
 // What an explanation is drawn from.
 struct PlacementKnowledge {
-    AdmissionNode& node;
+    AdmissionController& node;
     VMList const& vms;
     SettingsPolicies const& policies;
     std::string const& ownName;
--- a/Services/stagepostd/RequestFlow.cpp
+++ b/Services/stagepostd/RequestFlow.cpp
@@ -23,7 +23,7 @@
 
 void RequestFlow::start()
 {
-    m_services.retries.firstTry();
+    m_services.retries.recordFirstAttempt();
     m_exchange->onCallerGone([weak = weak_from_this()] {
         if (auto const flow = weak.lock())
             flow->callerGone();
@@ -127,7 +127,7 @@
 
 bool RequestFlow::retry(Lease const& lease, ForwardResult const& result)
 {
-    FailedTry const failed {
+    RetryContext const failed {
         result.verdict,
         *result.failure,
         m_request.isRepeatable,
--- a/Services/stagepostd/RequestFlow.h
+++ b/Services/stagepostd/RequestFlow.h
@@ -4,7 +4,7 @@
 #include <LibPlatform/VMList.h>
 #include <LibProxy/EventLoop.h>
 #include <LibProxy/Exchange.h>
-#include <LibRouting/AdmissionNode.h>
+#include <LibRouting/AdmissionController.h>
 #include <LibRouting/RetryPolicy.h>
 #include <memory>
 #include <stagepostd/RequestReader.h>
@@ -14,7 +14,7 @@
 // What every request needs of its daemon.
 struct RequestServices {
     EventLoop& loop;
-    AdmissionNode& node;
+    AdmissionController& node;
     RetryPolicy& retries;
     Metrics& metrics;
     VMList const& vms;
@@ -52,7 +52,7 @@
     CallerRequest m_request;
     Ended m_ended;
     Instant m_startedAt;
-    std::optional<EntryRole::RequestNumber> m_placing;
+    std::optional<LeaseClient::RequestNumber> m_placing;
     size_t m_tries { 0 };
     // Whether one of the tries so far may have run.
     Verdict m_doubt { Verdict::NotRun };
--- a/Services/stagepostd/SettingsPolicies.cpp
+++ b/Services/stagepostd/SettingsPolicies.cpp
@@ -16,8 +16,8 @@
     policy.admissionMargin = pool.admissionMargin;
     policy.newChatReserve = pool.newChatReserve;
     policy.recomputePerToken = pool.recomputePerToken;
-    policy.leastCap = pool.leastCap;
-    policy.mostInFlight = pool.mostInFlight;
+    policy.minCap = pool.leastCap;
+    policy.maxInFlight = pool.mostInFlight;
     policy.candidates = pool.candidates;
     policy.queueLength = pool.queueLength;
     policy.bulkShare = pool.bulkShare;
--- a/Services/stagepostd/UpstreamWatcher.cpp
+++ b/Services/stagepostd/UpstreamWatcher.cpp
@@ -28,7 +28,7 @@
 
 }
 
-UpstreamWatcher::UpstreamWatcher(EventLoop& loop, HttpClient& client, AdmissionNode& node, VMList const& list)
+UpstreamWatcher::UpstreamWatcher(EventLoop& loop, HttpClient& client, AdmissionController& node, VMList const& list)
     : m_loop(loop)
     , m_client(client)
     , m_node(node)
@@ -45,7 +45,7 @@
 void UpstreamWatcher::askAll()
 {
     for (auto const& [id, entry] : m_list.entries()) {
-        if (entry.role == VMRole::Upstream && m_node.owners().find(entry.upstreamId()))
+        if (entry.role == VMRole::Upstream && m_node.leaseServer().find(entry.upstreamId()))
             ask(entry);
     }
 }
@@ -63,11 +63,11 @@
 
 void UpstreamWatcher::take(UpstreamId upstream, std::string const& body)
 {
-    auto* owner = m_node.owners().find(upstream);
+    auto* owner = m_node.leaseServer().find(upstream);
     auto const status = Json::parse(body, nullptr, false);
     if (!owner || !status.is_object())
         return;
-    owner->takeLoadReport(numberOf(status, "in_flight"), m_loop.now());
+    owner->handleLoadReport(numberOf(status, "in_flight"), m_loop.now());
     m_nextEvent[upstream] = numberOf(status, "events_next");
     auto const events = status.find("events");
     if (events == status.end() || !events->is_array())
@@ -75,7 +75,7 @@
     for (auto const& event : *events) {
         auto const chat = chatOf(event);
         if (chat && event.contains("kind"))
-            owner->takeCacheEvent(*chat, event["kind"] == "stored", static_cast<uint32_t>(numberOf(event, "tokens")));
+            owner->handleCacheEvent(*chat, event["kind"] == "stored", static_cast<uint32_t>(numberOf(event, "tokens")));
     }
 }
 
--- a/Services/stagepostd/UpstreamWatcher.h
+++ b/Services/stagepostd/UpstreamWatcher.h
@@ -3,7 +3,7 @@
 #include <LibPlatform/VMList.h>
 #include <LibProxy/HttpClient.h>
 #include <LibProxy/Timer.h>
-#include <LibRouting/AdmissionNode.h>
+#include <LibRouting/AdmissionController.h>
 #include <unordered_map>
 
 namespace Stagepost {
@@ -16,7 +16,7 @@
 public:
     static constexpr Milliseconds interval { 2000 };
 
-    UpstreamWatcher(EventLoop&, HttpClient&, AdmissionNode&, VMList const&);
+    UpstreamWatcher(EventLoop&, HttpClient&, AdmissionController&, VMList const&);
     void start();
 
 private:
@@ -26,7 +26,7 @@
 
     EventLoop& m_loop;
     HttpClient& m_client;
-    AdmissionNode& m_node;
+    AdmissionController& m_node;
     VMList const& m_list;
     Timer m_timer;
     std::unordered_map<UpstreamId, uint64_t> m_nextEvent;
--- a/Tests/LibRouting/TestServicePlacement.cpp
+++ b/Tests/LibRouting/TestServicePlacement.cpp
@@ -267,11 +267,11 @@
             auto const rate = 1 + (step / 100) % 3 * skew % 20;
             for (int request = 0; request < rate; ++request) {
                 auto& budget = budgets[random() % count * (random() % 3 ? 1 : 0)];
-                budget.requested(now);
+                budget.recordRequest(now);
                 ++requests.back();
                 // Everything fails, and is sent again as often as may be.
                 while (budget.mayRetry(now)) {
-                    budget.retried(now);
+                    budget.recordRetry(now);
                     ++retries.back();
                 }
             }
