--- a/Libraries/LibRouting/CircuitBreaker.cpp
+++ b/Libraries/LibRouting/CircuitBreaker.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-    constexpr unsigned mostDoublings = 5;
-    // A trial whose outcome never comes must not keep the circuit open for ever.
-    constexpr Microseconds trialPatience { 60000000 };
+    constexpr unsigned maxPauseDoublings = 5;
+    // Limits how long a trial whose outcome is never reported keeps the breaker half-open.
+    constexpr Microseconds maxTrialDuration { 60000000 };
 
 }
 
@@ -18,8 +18,8 @@
         return true;
     if (now < m_openUntil)
         return false;
-    m_state = State::Trial;
-    m_openUntil = now + trialPatience;
+    m_state = State::HalfOpen;
+    m_openUntil = now + maxTrialDuration;
     return true;
 }
 
@@ -33,10 +33,10 @@
 bool CircuitBreaker::succeeded()
 {
     m_failures = 0;
-    bool const closes = m_state == State::Trial;
+    bool const closes = m_state == State::HalfOpen;
     if (closes) {
         m_state = State::Closed;
-        m_opened = 0;
+        m_consecutiveOpenings = 0;
     }
     return closes;
 }
@@ -44,18 +44,18 @@
 void CircuitBreaker::failed(Instant now)
 {
     ++m_failures;
-    // Requests that were in flight when it opened fail as well; they say nothing new.
+    // Requests that were in flight when the breaker opened do not extend its pause.
     if (m_state == State::Open || (m_state == State::Closed && m_failures < m_failureLimit))
         return;
     m_state = State::Open;
-    m_openUntil = now + m_pause * (1u << std::min(m_opened, mostDoublings));
-    ++m_opened;
+    m_openUntil = now + m_pause * (1u << std::min(m_consecutiveOpenings, maxPauseDoublings));
+    ++m_consecutiveOpenings;
     m_failures = 0;
 }
 
-void CircuitBreaker::trialReturned()
+void CircuitBreaker::cancelTrial()
 {
-    if (m_state == State::Trial) {
+    if (m_state == State::HalfOpen) {
         m_state = State::Open;
         m_openUntil = {};
     }
--- a/Libraries/LibRouting/CircuitBreaker.h
+++ b/Libraries/LibRouting/CircuitBreaker.h
@@ -5,9 +5,9 @@
 
 namespace Stagepost {
 
-// Keeps work away from an upstream that fails. After a row of failures it opens
-// for a pause, lets one request through to try, and opens for twice as long when
-// that fails as well.
+// Circuit breaker of one upstream. It opens for a pause after a number of consecutive
+// failures and then lets one trial request through. Each failed trial doubles the pause,
+// up to a limit.
 class CircuitBreaker {
 public:
     CircuitBreaker(size_t failures, Microseconds pause)
@@ -16,19 +16,19 @@
     {
     }
 
-    // Whether a request may go now; a true answer in the half-open state takes the
-    // one trial.
+    // Returns whether a request may be sent now. If the breaker isn't closed and this returns
+    // true, the request is the trial and the breaker becomes half-open.
     bool allows(Instant now);
-    // Whether the one trial may be taken now.
+    // Returns whether the breaker isn't closed and allows() would start a trial now.
     bool isTrialDue(Instant now) const { return m_state != State::Closed && now >= m_openUntil; }
-    // Until when it is open, from now; zero when it is not.
+    // The time until the next trial is allowed; zero if the breaker is closed.
     Microseconds remaining(Instant now) const;
 
-    // Returns true when this success closes the circuit again.
+    // Returns whether this success has closed a half-open breaker.
     bool succeeded();
     void failed(Instant now);
-    // The trial was given back unused.
-    void trialReturned();
+    // Ends the trial without an outcome; another one may start at once.
+    void cancelTrial();
 
     bool isClosed() const { return m_state == State::Closed; }
 
@@ -36,14 +36,14 @@
     enum class State {
         Closed,
         Open,
-        Trial,
+        HalfOpen,
     };
 
     size_t m_failureLimit;
     Microseconds m_pause;
     State m_state { State::Closed };
     size_t m_failures { 0 };
-    unsigned m_opened { 0 };
+    unsigned m_consecutiveOpenings { 0 };
     Instant m_openUntil;
 };
 
--- a/Libraries/LibRouting/UpstreamHealth.cpp
+++ b/Libraries/LibRouting/UpstreamHealth.cpp
@@ -6,34 +6,37 @@
 
 namespace {
 
-    // Two in a row are rare on a sound upstream, and a row of three costs callers.
-    constexpr size_t breakerFailures = 2;
-    // Long enough that a restart is not met by a row of trials, short against the
-    // seconds that an outage takes.
-    constexpr Microseconds breakerPause { 400000 };
-    // How long an upstream of a service without repeatable requests stays out.
-    constexpr Microseconds pauseForOthers { 3000000 };
-    // The time in which an observation fades to a third.
-    constexpr double memorySeconds = 4;
-    // Doubt in favour of an upstream of which little was seen.
+    // Two failures in a row are rare on a healthy upstream; waiting for a third would fail
+    // another request.
+    constexpr size_t consecutiveFailureLimit = 2;
+    // Long enough for a restarting upstream not to receive several trials in a row, and short
+    // compared to an outage, which lasts seconds.
+    constexpr Microseconds initialPause { 400000 };
+    // The time since the last observation after which a request that can't be repeated may
+    // be the trial.
+    constexpr Microseconds nonRepeatableTrialDelay { 3000000 };
+    // Time constant of the exponential decay of observations.
+    constexpr double decayTimeSeconds = 4;
+    // Successes added to the observed answers, so that the first failure of an upstream with
+    // few observations doesn't make its failure share 1.
     constexpr double assumedSuccesses = 2;
 
-    double faded(double value, Microseconds elapsed)
+    double decayed(double value, Microseconds elapsed)
     {
-        return value * std::exp(-asSeconds(elapsed) / memorySeconds);
+        return value * std::exp(-asSeconds(elapsed) / decayTimeSeconds);
     }
 
 }
 
 UpstreamHealth::UpstreamHealth()
-    : m_breaker(breakerFailures, breakerPause)
+    : m_breaker(consecutiveFailureLimit, initialPause)
 {
 }
 
 void UpstreamHealth::observe(double failure, Instant now)
 {
-    m_failures = faded(m_failures, now - m_observedAt) + failure;
-    m_answers = faded(m_answers, now - m_observedAt) + 1;
+    m_failures = decayed(m_failures, now - m_observedAt) + failure;
+    m_answers = decayed(m_answers, now - m_observedAt) + 1;
     m_observedAt = now;
 }
 
@@ -44,7 +47,7 @@
 
 bool UpstreamHealth::isTrialDue(Instant now, bool isRepeatable) const
 {
-    bool const mayTry = isRepeatable || m_isTrialSafe || now - m_observedAt >= pauseForOthers;
+    bool const mayTry = isRepeatable || m_didConnectFailLast || now - m_observedAt >= nonRepeatableTrialDelay;
     return mayTry && m_breaker.isTrialDue(now);
 }
 
@@ -60,24 +63,24 @@
     observe(1, now);
 }
 
-void UpstreamHealth::broke(Instant now)
+void UpstreamHealth::failedToAnswer(Instant now)
 {
     m_breaker.failed(now);
-    m_isTrialSafe = false;
+    m_didConnectFailLast = false;
     observe(1, now);
 }
 
-void UpstreamHealth::unreachable(Instant now)
+void UpstreamHealth::failedToConnect(Instant now)
 {
     m_breaker.failed(now);
-    m_isTrialSafe = true;
+    m_didConnectFailLast = true;
     observe(1, now);
 }
 
 double UpstreamHealth::failureShare(Instant now) const
 {
     auto const elapsed = now - m_observedAt;
-    return faded(m_failures, elapsed) / (faded(m_answers, elapsed) + assumedSuccesses);
+    return decayed(m_failures, elapsed) / (decayed(m_answers, elapsed) + assumedSuccesses);
 }
 
 }
--- a/Libraries/LibRouting/UpstreamHealth.h
+++ b/Libraries/LibRouting/UpstreamHealth.h
@@ -5,39 +5,40 @@
 
 namespace Stagepost {
 
-// What one daemon has seen of an upstream's answers: how many of them failed of
-// late, and whether it answers at all.
+// Health of an upstream as observed by one daemon: the recent share of failed answers, and a
+// circuit breaker for requests that get no answer.
 class UpstreamHealth {
 public:
     UpstreamHealth();
 
     void succeeded(Instant now);
-    // It answered, but with a failure of its own.
+    // The upstream answered with an error. This closes the breaker, since it does answer.
     void answeredWithFailure(Instant now);
-    // It did not answer, or with something that is no answer.
-    void broke(Instant now);
-    // No connection to it came up, so no request was harmed.
-    void unreachable(Instant now);
-
-    // Whether it answers at all; a true answer may take the one trial. A request
-    // that cannot be sent again is a trial only after a longer pause, so that
-    // those that can be go first, unless connections alone have failed.
+    // The upstream didn't answer, or its answer was unusable.
+    void failedToAnswer(Instant now);
+    // No connection could be established, so no request was sent.
+    void failedToConnect(Instant now);
+
+    // Returns whether a request may be sent now; it may be the breaker's trial. A request
+    // that can't be repeated becomes the trial only after a longer pause, so that a repeatable
+    // one goes first, unless the last failure was a failed connection.
     bool allows(Instant now, bool isRepeatable);
-    // Whether it does not answer, and one request may try it now.
+    // Returns whether the breaker isn't closed and such a request may be its trial now.
     bool isTrialDue(Instant now, bool isRepeatable) const;
-    void trialReturned() { m_breaker.trialReturned(); }
+    void cancelTrial() { m_breaker.cancelTrial(); }
     bool isClosed() const { return m_breaker.isClosed(); }
 
-    // The share of failures among its latest answers, from 0 to 1, which fades
-    // while nothing is heard of it.
+    // The share of failures among recent requests, from 0 to 1. It decays without new
+    // observations.
     double failureShare(Instant now) const;
 
 private:
     void observe(double failure, Instant now);
 
     CircuitBreaker m_breaker;
-    // The breaker has opened for connections that did not come up.
-    bool m_isTrialSafe { false };
+    // Whether the last breaker failure was a failed connection. A trial that fails in the same
+    // way sends no request, so any request may be the trial.
+    bool m_didConnectFailLast { false };
     double m_failures { 0 };
     double m_answers { 0 };
     Instant m_observedAt;
