--- a/Libraries/LibRouting/PlacementRule.h
+++ b/Libraries/LibRouting/PlacementRule.h
@@ -7,34 +7,34 @@
 
 namespace Stagepost {
 
-// By which rule an upstream was chosen.
+// The rule by which an upstream was chosen.
 enum class PlacementRule : uint8_t {
-    // No context: where the answer is expected soonest.
+    // The request has no context: the upstream with the shortest expected wait.
     Wait,
-    // The first of the context's order whose newest count leaves room.
+    // The first upstream in the context's rendezvous order whose expected load is below its limit.
     Count,
-    // By the shares that upstreams take of what belongs to them.
+    // The first upstream in rendezvous order, or another one for requests beyond its AcceptedShare.
     Share,
-    // An owner has room for it.
+    // An upstream whose owner granted the request.
     Granted,
-    // Of those whose owners were asked, none of which has room, the one that holds least.
+    // The least loaded of the upstreams whose owners were asked, none of which granted the request.
     Least,
-    // All others want rest or have failed the request: a trial in an upstream's rest.
+    // No other upstream is available: a trial request to one that is backing off.
     Resting,
 };
 
 std::string_view nameOf(PlacementRule);
 
-// Why an upstream was chosen, for the log.
+// The inputs of a placement decision, for the log.
 struct PlacementReason {
     PlacementRule rule { PlacementRule::Wait };
-    // How old the others' counts were believed to be.
+    // Mean age of the other daemons' in-flight counts.
     Microseconds countsAge { 0 };
-    // How long requests were believed to stay.
+    // Mean time for which an upstream holds a request.
     Microseconds hold { 0 };
-    // How many owners were asked.
+    // Number of asks sent to upstream owners.
     size_t asks { 0 };
-    // What the upstream's owner counted there, and below which count it would grant one more.
+    // The owner's count of requests at the upstream, and the count below which it grants another.
     size_t counted { 0 };
     size_t limit { 0 };
 };
--- a/Libraries/LibRouting/PromptChain.cpp
+++ b/Libraries/LibRouting/PromptChain.cpp
@@ -6,8 +6,8 @@
 
 void PromptChain::add(std::string_view id, uint32_t tokens)
 {
-    auto const before = m_parts.empty() ? 0 : m_parts.back().key;
-    m_parts.push_back({ mixHashes(before, hashOf(id)), tokens });
+    auto const prefixKey = m_parts.empty() ? 0 : m_parts.back().key;
+    m_parts.push_back({ mixHashes(prefixKey, hashOf(id)), tokens });
 }
 
 uint64_t PromptChain::tokens() const
--- a/Libraries/LibRouting/PromptChain.h
+++ b/Libraries/LibRouting/PromptChain.h
@@ -7,15 +7,15 @@
 
 namespace Stagepost {
 
-// One part of a prompt. An upstream that keeps a part can use it only where it
-// keeps every part before it too, so a part is named with all that precede it.
+// One part of a prompt. A cached part can be reused only together with all parts before it,
+// so its key covers the whole prefix.
 struct PromptPart {
-    // A hash of this part's id and those of all parts before it.
+    // Hash of the ids of this part and of all parts before it.
     uint64_t key { 0 };
     uint32_t tokens { 0 };
 };
 
-// A prompt, from its most widely shared part to the one of its own.
+// The parts of a prompt, from the most widely shared one to the one specific to this request.
 class PromptChain {
 public:
     PromptChain() = default;
@@ -24,8 +24,8 @@
 
     std::vector<PromptPart> const& parts() const { return m_parts; }
     uint64_t tokens() const;
-    // The longest run of parts that other requests share: all but the last, or
-    // the only one. This is what decides where the prompt is best read.
+    // Key of the prefix that other requests are expected to share: all parts but the last, or
+    // the only part. Requests with the same key are placed on the same upstream.
     std::optional<uint64_t> sharedKey() const;
 
 private:
