--- a/Libraries/LibRouting/LoadExchange.cpp
+++ b/Libraries/LibRouting/LoadExchange.cpp
@@ -6,16 +6,16 @@
 
 namespace Stagepost {
 
-void LoadExchange::rideAlong(PoolId pool, VMId to, Instant now)
+void LoadExchange::piggyback(PoolId pool, VMId to, Instant now)
 {
     auto const own = m_own.find(pool);
     if (own == m_own.end())
         return;
-    auto& toldAt = m_toldAt[to];
-    if (now - toldAt < repeatInterval)
+    auto& lastSentAt = m_lastSentAt[to];
+    if (now - lastSentAt < repeatInterval)
         return;
-    toldAt = now;
-    ++m_riddenAlong;
+    lastSentAt = now;
+    ++m_piggybackedReports;
     m_send(to, own->second);
 }
 
@@ -25,7 +25,7 @@
     if (now - m_pushedAt < pushInterval || daemons.empty())
         return;
     m_pushedAt = now;
-    auto const targets = pushTargets - std::min(pushTargets, std::exchange(m_riddenAlong, 0) / 2);
+    auto const targets = pushTargets - std::min(pushTargets, std::exchange(m_piggybackedReports, 0) / 2);
     for (size_t count = 0; count < targets; ++count) {
         auto const target = daemons[randomBelow(m_random, daemons.size())];
         if (target == view.self())
@@ -35,11 +35,11 @@
     }
 }
 
-void LoadExchange::take(PoolReport const& report, VMId from, Instant now)
+void LoadExchange::receive(PoolReport const& report, VMId from, Instant now)
 {
-    // Who owns nothing of a pool has no use for its mean.
+    // Only owners of upstreams in the pool use its mean.
     if (m_own.contains(report.pool))
-        m_heard[report.pool][from] = { report, now };
+        m_reports[report.pool][from] = { report, now };
 }
 
 double LoadExchange::mean(PoolId pool, Instant now) const
@@ -50,9 +50,9 @@
         load = own->second.load;
         upstreams = own->second.upstreams;
     }
-    if (auto const heard = m_heard.find(pool); heard != m_heard.end()) {
-        for (auto const& [daemon, entry] : heard->second) {
-            if (now - entry.at > patience)
+    if (auto const found = m_reports.find(pool); found != m_reports.end()) {
+        for (auto const& [daemon, entry] : found->second) {
+            if (now - entry.receivedAt > reportLifetime)
                 continue;
             load += entry.report.load;
             upstreams += entry.report.upstreams;
--- a/Libraries/LibRouting/LoadExchange.h
+++ b/Libraries/LibRouting/LoadExchange.h
@@ -12,21 +12,21 @@
 
 class RoutingView;
 
-// Knows the mean load of each pool without anybody who adds it up. Every owner
-// says what it counts itself: along with the messages of requests, which reach
-// random owners by themselves, and to a few daemons at random besides. The mean is
-// taken over all that was heard lately, which at a large size is a sample of the
-// pool and at a small one all of it.
+// Estimates the mean load of each pool by gossip, without a central aggregator. Every owner
+// reports its own load, piggybacked on messages about requests, which reach random owners,
+// and in periodic messages to a few random daemons. The mean covers all recent reports: the
+// whole pool in a small fleet, a sample of it in a large one.
 class LoadExchange {
 public:
     using Send = std::function<void(VMId to, RoutingMessage)>;
 
     static constexpr Microseconds pushInterval { 500000 };
-    // Each two reports that rode along since the last push save one push.
+    // Number of random daemons that each push goes to. Every two piggybacked reports since the
+    // last push reduce it by one.
     static constexpr size_t pushTargets = 3;
-    // What was not heard for that long does not count any more.
-    static constexpr Microseconds patience { 3000000 };
-    // The least time between two reports to the same daemon.
+    // Older reports are left out of the mean.
+    static constexpr Microseconds reportLifetime { 3000000 };
+    // Minimum time between two piggybacked reports to the same daemon.
     static constexpr Microseconds repeatInterval { 1000000 };
 
     LoadExchange(Send send, RandomHook random)
@@ -35,32 +35,32 @@
     {
     }
 
-    // Says what this daemon counts in a pool now.
+    // Sets the load that this daemon counts in a pool, over the upstreams that it owns there.
     void setOwnLoad(PoolId pool, uint64_t load, uint64_t upstreams) { m_own[pool] = { pool, load, upstreams }; }
     void clearOwnLoads() { m_own.clear(); }
 
-    // Adds this daemon's report to a message that goes to another one anyway.
-    void rideAlong(PoolId, VMId to, Instant now);
-    // Sends to a few at random when that is due.
+    // Sends this daemon's report to a daemon that is being sent another message anyway.
+    void piggyback(PoolId, VMId to, Instant now);
+    // Pushes the reports to a few random daemons if the push interval has passed.
     void tick(RoutingView const&, Instant now);
-    void take(PoolReport const&, VMId from, Instant now);
+    void receive(PoolReport const&, VMId from, Instant now);
 
-    // The pool's load per upstream.
+    // The pool's mean load per upstream.
     double mean(PoolId, Instant now) const;
 
 private:
-    struct Heard {
+    struct ReceivedReport {
         PoolReport report;
-        Instant at;
+        Instant receivedAt;
     };
 
     Send m_send;
     RandomHook m_random;
     std::unordered_map<PoolId, PoolReport> m_own;
-    std::unordered_map<PoolId, std::map<VMId, Heard>> m_heard;
-    std::unordered_map<VMId, Instant> m_toldAt;
+    std::unordered_map<PoolId, std::map<VMId, ReceivedReport>> m_reports;
+    std::unordered_map<VMId, Instant> m_lastSentAt;
     Instant m_pushedAt;
-    size_t m_riddenAlong { 0 };
+    size_t m_piggybackedReports { 0 };
 };
 
 }
--- a/Libraries/LibRouting/ShareExchange.cpp
+++ b/Libraries/LibRouting/ShareExchange.cpp
@@ -8,13 +8,14 @@
 namespace {
 
     constexpr double millionths = 1e6;
-    // Rates travel as whole thousandths of a request a second.
+    // Rates are sent in thousandths of a request per second.
     constexpr double arrivalScale = 1000;
 
-    // The part of a limit that one daemon gets. While all want less than the limit,
-    // each gets what it uses and an even part of what is left, so that it can grow;
-    // beyond that the limit is divided by demand.
-    uint64_t partOf(double own, double total, double limit, size_t reporters, double evenShare)
+    // Returns one daemon's share of a limit, in millionths. If the total demand is below the
+    // limit, it gets its own demand and an even part of the remainder, which leaves it room to
+    // grow; otherwise the limit is divided by demand, except for unreportedShare of it, which
+    // is divided evenly.
+    uint64_t shareOf(double own, double total, double limit, size_t reporters, double evenShare)
     {
         if (limit <= 0)
             return 0;
@@ -66,45 +67,45 @@
 void ShareExchange::tick(Instant now)
 {
     for (auto& [organisation, local] : m_local) {
-        if (local.isShared && now - local.sharedAt > patience) {
+        if (local.isShared && now - local.sharedAt > shareLifetime) {
             local.limiter.setEvenShare(evenShare());
             local.isShared = false;
         }
         if (now - local.reportedAt < reportInterval)
             continue;
-        bool const mustReport = local.limiter.isNearShare();
+        bool const shouldReport = local.limiter.isNearShare();
         auto const rate = local.limiter.takeArrivalRate(now - local.reportedAt);
         local.reportedAt = now;
         auto const arrivals = static_cast<uint64_t>(std::lround(rate * arrivalScale));
         auto const coordinator = m_view.coordinatorOf(organisation.value());
-        if (mustReport && coordinator)
+        if (shouldReport && coordinator)
             m_send(*coordinator, DemandReport { organisation, arrivals, local.limiter.inFlight() });
     }
 }
 
-void ShareExchange::take(DemandReport const& report, VMId from, Instant now)
+void ShareExchange::receive(DemandReport const& report, VMId from, Instant now)
 {
-    auto& heard = m_heard[report.organisation];
-    heard[from] = { report, now };
-    std::erase_if(heard, [&](auto const& entry) { return now - entry.second.at > patience; });
+    auto& reports = m_reports[report.organisation];
+    reports[from] = { report, now };
+    std::erase_if(reports, [&](auto const& entry) { return now - entry.second.receivedAt > shareLifetime; });
     DemandReport total;
-    for (auto const& [daemon, entry] : heard) {
+    for (auto const& [daemon, entry] : reports) {
         total.arrivals += entry.report.arrivals;
         total.inFlight += entry.report.inFlight;
     }
     auto const limits = m_limitsOf(report.organisation);
     auto const scaled = [](uint64_t thousandths) { return static_cast<double>(thousandths) / arrivalScale; };
-    // The demand for places is what is in flight and what wants to be.
-    auto const ownPlaces = static_cast<double>(report.inFlight) + scaled(report.arrivals);
-    auto const allPlaces = static_cast<double>(total.inFlight) + scaled(total.arrivals);
+    // Demand for concurrency: requests in flight, and one second of arrivals.
+    auto const ownConcurrency = static_cast<double>(report.inFlight) + scaled(report.arrivals);
+    auto const totalConcurrency = static_cast<double>(total.inFlight) + scaled(total.arrivals);
     DemandShare share;
     share.organisation = report.organisation;
-    share.rateMillionths = partOf(scaled(report.arrivals), scaled(total.arrivals), limits.requestsPerSecond, heard.size(), evenShare());
-    share.inFlightMillionths = partOf(ownPlaces, allPlaces, limits.inFlight, heard.size(), evenShare());
+    share.rateMillionths = shareOf(scaled(report.arrivals), scaled(total.arrivals), limits.requestsPerSecond, reports.size(), evenShare());
+    share.inFlightMillionths = shareOf(ownConcurrency, totalConcurrency, limits.inFlight, reports.size(), evenShare());
     m_send(from, share);
 }
 
-void ShareExchange::take(DemandShare const& share, Instant now)
+void ShareExchange::receive(DemandShare const& share, Instant now)
 {
     auto& local = localOf(share.organisation, now);
     local.limiter.setShares(static_cast<double>(share.rateMillionths) / millionths, static_cast<double>(share.inFlightMillionths) / millionths);
--- a/Libraries/LibRouting/ShareExchange.h
+++ b/Libraries/LibRouting/ShareExchange.h
@@ -12,18 +12,18 @@
 
 namespace Stagepost {
 
-// Shares each organisation's limits out over the daemons by demand, without a
-// message for each request. A daemon whose use comes near its part reports its
-// demand to the organisation's coordinator every two seconds and gets its part back;
-// one that hears nothing holds an even part, so the limit is kept at any cut.
+// Divides each organisation's limits among the daemons by demand, without a message per
+// request. A daemon that comes close to its share reports its demand to the organisation's
+// coordinator every reportInterval and receives a new share. A daemon that receives none
+// falls back to an even share, so that the limit also holds during a network partition.
 class ShareExchange {
 public:
     using Send = std::function<void(VMId to, RoutingMessage)>;
     using LimitsOf = std::function<OrganisationLimits(OrganisationId)>;
 
     static constexpr Microseconds reportInterval { 2000000 };
-    static constexpr Microseconds patience { 5000000 };
-    // What is left to daemons that have not reported, for each to start with.
+    static constexpr Microseconds shareLifetime { 5000000 };
+    // The part of a limit that is reserved for daemons that haven't reported their demand.
     static constexpr double unreportedShare = 0.1;
 
     ShareExchange(Send send, LimitsOf limitsOf)
@@ -36,8 +36,8 @@
     std::optional<Refusal> admit(OrganisationId, Instant now);
     void finished(OrganisationId);
 
-    void take(DemandReport const&, VMId from, Instant now);
-    void take(DemandShare const&, Instant now);
+    void receive(DemandReport const&, VMId from, Instant now);
+    void receive(DemandShare const&, Instant now);
     void tick(Instant now);
     void refreshLimits();
 
@@ -50,9 +50,9 @@
         Instant sharedAt;
         bool isShared { false };
     };
-    struct Heard {
+    struct ReceivedReport {
         DemandReport report;
-        Instant at;
+        Instant receivedAt;
     };
 
     Local& localOf(OrganisationId, Instant now);
@@ -62,7 +62,7 @@
     LimitsOf m_limitsOf;
     RoutingView m_view;
     std::unordered_map<OrganisationId, Local> m_local;
-    std::unordered_map<OrganisationId, std::map<VMId, Heard>> m_heard;
+    std::unordered_map<OrganisationId, std::map<VMId, ReceivedReport>> m_reports;
 };
 
 }
