--- a/Libraries/LibRouting/AdmissionGate.cpp
+++ b/Libraries/LibRouting/AdmissionGate.cpp
@@ -6,20 +6,20 @@
 
 namespace {
 
-    // Upstreams are not equally full: with so many requests for each place on average,
-    // some already have a queue.
-    constexpr double firstRefusalsAt = 0.85;
-    // How much earlier the less urgent are turned away: a twentieth of the
-    // places for each step is left to the more urgent.
-    constexpr double stepOfPriority = 0.05;
-    constexpr unsigned leastUrgent = 2;
-    // From the first refusals on, everybody is turned away with so many more requests
-    // for each place. What is a second old may be off by as many as come in that time,
-    // which is about as many as there are places; a steeper rise would swing.
-    constexpr double refusalsOfAllAfter = 1;
-    // Whoever is turned away never comes back later than this: a surge may be over.
-    constexpr Milliseconds longestPause { 4000 };
-    constexpr Milliseconds leastPause { 20 };
+    // Load per slot above which some requests of priority 0 are refused. It is below 1, since
+    // the load is uneven and some upstreams already queue at this mean.
+    constexpr double refusalThreshold = 0.85;
+    // Each priority step is refused at a load per slot that is lower by this, which reserves a
+    // twentieth of the slots for more urgent requests.
+    constexpr double thresholdStepPerPriority = 0.05;
+    constexpr unsigned lowestPriority = 2;
+    // The refused share rises from 0 to 1 over this range above the threshold. Counts that are a
+    // second old may be off by a second of arrivals, which is about one per slot; over a
+    // narrower range the load would oscillate.
+    constexpr double refusalRange = 1;
+    // A client never waits longer than this to retry, since the surge may be over by then.
+    constexpr Milliseconds maxRetryDelay { 4000 };
+    constexpr Milliseconds minHold { 20 };
 
 }
 
@@ -27,8 +27,8 @@
 {
     if (!occupancy.isCurrent)
         return 0;
-    auto const first = firstRefusalsAt - stepOfPriority * std::min(priority, leastUrgent);
-    return std::clamp((occupancy.perPlace - first) / refusalsOfAllAfter, 0.0, 1.0);
+    auto const threshold = refusalThreshold - thresholdStepPerPriority * std::min(priority, lowestPriority);
+    return std::clamp((occupancy.perSlot - threshold) / refusalRange, 0.0, 1.0);
 }
 
 bool AdmissionGate::admits(ServiceOccupancy const& occupancy, unsigned priority) const
@@ -37,9 +37,9 @@
     return share == 0 || randomShare(m_random) >= share;
 }
 
-Milliseconds AdmissionGate::timeToComeBack(ServiceOccupancy const& occupancy) const
+Milliseconds AdmissionGate::retryDelay(ServiceOccupancy const& occupancy) const
 {
-    auto const hold = std::clamp(std::chrono::duration_cast<Milliseconds>(occupancy.hold), leastPause, longestPause / 2);
+    auto const hold = std::clamp(std::chrono::duration_cast<Milliseconds>(occupancy.hold), minHold, maxRetryDelay / 2);
     return hold + Milliseconds(randomBelow(m_random, static_cast<uint64_t>(hold.count())));
 }
 
--- a/Libraries/LibRouting/AdmissionGate.h
+++ b/Libraries/LibRouting/AdmissionGate.h
@@ -5,22 +5,22 @@
 
 namespace Stagepost {
 
-// How full the upstreams of a service are.
+// Utilisation of a service's upstreams.
 struct ServiceOccupancy {
-    // Requests at its upstreams, running and waiting, for each place; 1 is full.
-    double perPlace { 0 };
-    // How long a request stays at an upstream.
+    // Requests at the upstreams, running and waiting, per slot; 1 is full.
+    double perSlot { 0 };
+    // Mean time for which an upstream holds a request.
     Microseconds hold { 0 };
-    // Whether requests that were counted are mostly still there when the counts are
-    // used. Otherwise the counts say nothing of queues, which fill and empty meanwhile.
+    // Whether the counts are recent enough, compared to the hold time, to show queues.
+    // Otherwise queues build up and drain between two counts.
     bool isCurrent { false };
 };
 
-// Turns part of the requests away while a service has fewer places than requests, so
-// that those let in are still answered in time: where all are let in, the queue grows
-// for as long as the surge lasts, and then nobody is. The share that is turned away
-// grows with the queue, since many daemons that each turn all or none away by a count
-// that is a second old would empty the upstreams and fill them again by turns.
+// Load shedding: refuses a share of the requests while a service is overloaded, so that the
+// admitted ones are still answered in time. Without it the queue grows for as long as the
+// surge lasts, until no request is answered in time. The refused share rises gradually with
+// the load: if every daemon refused all or none by counts that are a second old, the load
+// would oscillate between empty and overfull.
 class AdmissionGate {
 public:
     explicit AdmissionGate(RandomHook random)
@@ -28,14 +28,14 @@
     {
     }
 
-    // Priorities rise from 0, the most urgent.
+    // Priority 0 is the most urgent.
     bool admits(ServiceOccupancy const&, unsigned priority) const;
 
-    // When a request that was turned away is to come back: when those that it finds
-    // waiting have been answered, and not all of them at once.
-    Milliseconds timeToComeBack(ServiceOccupancy const&) const;
+    // The time after which a refused client is told to retry: one to two hold times within
+    // fixed bounds, randomised so that clients don't all retry at once.
+    Milliseconds retryDelay(ServiceOccupancy const&) const;
 
-    // The share of requests that is turned away.
+    // The share of requests that is refused, from 0 to 1.
     static double refusedShare(ServiceOccupancy const&, unsigned priority);
 
 private:
