--- a/Libraries/LibRouting/LoadEstimate.cpp
+++ b/Libraries/LibRouting/LoadEstimate.cpp
@@ -7,33 +7,34 @@
 
 namespace {
 
-    // Counts that lie so many holds apart are independent of one another. The mean of
-    // four such deviates by half as much as one; more would follow a change too late.
-    constexpr int holdsInMemory = 4;
-    // However short or long requests stay: of short ones counts come more rarely than
-    // they change, and within some seconds the load itself changes.
-    constexpr Microseconds leastMemory { 1000000 };
-    constexpr Microseconds mostMemory { 5000000 };
-    // The time in which what was heard of others loses two thirds of its weight, where
-    // nothing more is heard: they may be gone, or cut off.
-    constexpr double trustSeconds = 20;
+    // Averaging period in hold times. Counts one hold time apart are roughly independent; the
+    // mean of four deviates half as much as a single one, and a longer period would follow
+    // changes too slowly.
+    constexpr int holdsInPeriod = 4;
+    // Limits of the averaging period. With short hold times, counts arrive less often than they
+    // change; with long ones, the load itself changes within a few seconds.
+    constexpr Microseconds minPeriod { 1000000 };
+    constexpr Microseconds maxPeriod { 5000000 };
+    // Time constant of the decay of other daemons' counts while no new ones arrive, since those
+    // daemons may have stopped or be partitioned from this one.
+    constexpr double decayTimeSeconds = 20;
 
 }
 
-double shareStillThere(Microseconds age, Microseconds hold)
+double remainingFraction(Microseconds age, Microseconds hold)
 {
     return std::exp(-asSeconds(std::max(age, Microseconds(0))) / asSeconds(std::max(hold, Microseconds(1))));
 }
 
-Microseconds LoadEstimate::memory(Microseconds hold)
+Microseconds LoadEstimate::averagingPeriod(Microseconds hold)
 {
-    return std::clamp(holdsInMemory * hold, leastMemory, mostMemory);
+    return std::clamp(holdsInPeriod * hold, minPeriod, maxPeriod);
 }
 
 void LoadEstimate::observe(double others, Instant countedAt, Microseconds hold, Instant now)
 {
-    m_usualOthers = m_heardAt ? std::lerp(others, m_usualOthers, shareStillThere(now - *m_heardAt, memory(hold))) : others;
-    m_heardAt = now;
+    m_meanOthers = m_observedAt ? std::lerp(others, m_meanOthers, remainingFraction(now - *m_observedAt, averagingPeriod(hold))) : others;
+    m_observedAt = now;
     if (countedAt < m_countedAt)
         return;
     m_others = others;
@@ -51,20 +52,20 @@
     observe(static_cast<double>(count), countedAt, hold, now);
 }
 
-double LoadEstimate::trust(Instant now) const
+double LoadEstimate::othersWeight(Instant now) const
 {
-    return m_heardAt ? std::exp(-asSeconds(now - *m_heardAt) / trustSeconds) : 0;
+    return m_observedAt ? std::exp(-asSeconds(now - *m_observedAt) / decayTimeSeconds) : 0;
 }
 
-double LoadEstimate::usual(Instant now) const
+double LoadEstimate::mean(Instant now) const
 {
-    return static_cast<double>(m_own) + m_usualOthers * trust(now);
+    return static_cast<double>(m_own) + m_meanOthers * othersWeight(now);
 }
 
 double LoadEstimate::expected(Microseconds hold, Instant now) const
 {
-    auto const others = std::lerp(m_usualOthers, m_others, shareStillThere(now - m_countedAt, hold));
-    return static_cast<double>(m_own) + others * trust(now);
+    auto const others = std::lerp(m_meanOthers, m_others, remainingFraction(now - m_countedAt, hold));
+    return static_cast<double>(m_own) + others * othersWeight(now);
 }
 
 }
--- a/Libraries/LibRouting/ServiceLoad.cpp
+++ b/Libraries/LibRouting/ServiceLoad.cpp
@@ -8,42 +8,45 @@
 
 namespace {
 
-    // The weight of the newest request in the mean of how long requests stay.
-    constexpr double newestHoldWeight = 0.05;
-    // Until the first request has ended.
+    // Weight of the latest request in the mean hold time.
+    constexpr double latestHoldWeight = 0.05;
+    // Used until the first request has ended.
     constexpr Microseconds assumedHold { 1000000 };
-    // The weight of the newest counts in the means of how old counts are and of how far
-    // loads scatter: some five seconds' worth.
-    constexpr double newestCountsWeight = 0.2;
-    // So many standard deviations below a bound, a load that comes and goes by
-    // chance exceeds it in 1 of 400 moments. What is left is for the seconds before
-    // counts come, while all daemons read their first prompts.
-    constexpr double deviationsBelowBound = 2.8;
-    // So many above the mean a load by chance is in 1 of a thousand moments.
-    constexpr double deviationsOfRush = 3;
-    // So many below the mean before, loads have begun to fall.
-    constexpr double deviationsOfFall = 2;
-    // The mean of the absolute value of a normal deviate.
-    constexpr double meanOfNormalDeviation = 0.8;
-    // A load of less is mostly none at all, which is no normal deviation.
-    constexpr double leastUsual = 1;
-    // Where upstreams may not hold more than so many each, what they hold in the mean of that.
-    constexpr double evenness = 0.85;
-    // No steadier than independent requests; beyond the other a rush is under way.
-    constexpr double leastSpread = 1;
-    constexpr double mostSpread = 4;
-
-    Microseconds movedTowards(Microseconds mean, Microseconds newest, double weight)
+    // Weight of the latest counts in the means of their age and of the dispersion, which thus
+    // cover about five seconds.
+    constexpr double latestCountsWeight = 0.2;
+    // A randomly fluctuating load that lies this many standard deviations below a limit exceeds
+    // it 1/400 of the time. The rest of the tolerance is left to the first seconds, in which no
+    // counts have arrived and the first prompts of all daemons are read.
+    constexpr double marginDeviations = 2.8;
+    // A randomly fluctuating load is this many standard deviations above its mean 1/1000 of the
+    // time; a higher load is a surge.
+    constexpr double surgeDeviations = 3;
+    // If the mean is this many standard deviations below the previous one, loads are falling.
+    constexpr double fallDeviations = 2;
+    // Mean absolute value of a standard normal variable.
+    constexpr double meanAbsoluteNormalDeviation = 0.8;
+    // The deviation from a lower mean is not normal, as the load is zero most of the time.
+    constexpr double minMean = 1;
+    // The mean load that upstreams reach, as a fraction of a maximum imposed on each of them.
+    constexpr double achievedFillFraction = 0.85;
+    // Limits of the dispersion: 1 is that of independent requests; a value above the upper limit
+    // is caused by a surge.
+    constexpr double minDispersion = 1;
+    constexpr double maxDispersion = 4;
+
+    Microseconds interpolated(Microseconds mean, Microseconds newest, double weight)
     {
         auto const moved = std::lerp(static_cast<double>(mean.count()), static_cast<double>(newest.count()), weight);
         return Microseconds(std::llround(moved));
     }
 
-    // No upstream queues a request for its context's sake while others have places
-    // free: what waits there would be read elsewhere meanwhile.
-    double withoutQueue(double bound, double mean, size_t places)
+    // Reduces a limit to the number of slots, or to the mean load if that is higher. Queueing for
+    // the upstream that holds the context doesn't pay while others have free slots, where the
+    // prompt would be read in the meantime.
+    double limitedToSlots(double bound, double mean, size_t slots)
     {
-        return std::min(bound, std::max(static_cast<double>(places), mean));
+        return std::min(bound, std::max(static_cast<double>(slots), mean));
     }
 
     CountedLoad sumOf(std::vector<CountedLoad> const& loads)
@@ -51,83 +54,85 @@
         CountedLoad sum;
         for (auto const& load : loads) {
             sum.counted += load.counted;
-            sum.usual += load.usual;
+            sum.mean += load.mean;
         }
         return sum;
     }
 
 }
 
-// The first ones count as much as all before them and the assumption: else a daemon that sees
-// two short calls a second would go by the assumption for twenty seconds, take counts that are
-// long over for requests that are still there, and refuse others for them.
-void ServiceLoad::ended(Microseconds held)
+// The n-th request has a weight of at least 1/(n + 1), so that the first ones replace the
+// assumed hold time quickly. With the fixed weight, a daemon that sees two short calls a second
+// would rely on the assumption for twenty seconds, take requests that have long ended for ones
+// still in flight, and refuse others because of them.
+void ServiceLoad::requestEnded(Microseconds held)
 {
-    ++m_ended;
-    auto const weight = m_bounds.learnsHoldAtOnce ? std::max(newestHoldWeight, 1 / static_cast<double>(m_ended + 1)) : newestHoldWeight;
-    m_hold = std::max(Microseconds(1), movedTowards(hold(), held, weight));
+    ++m_endedRequests;
+    auto const weight = m_bounds.learnsHoldAtOnce ? std::max(latestHoldWeight, 1 / static_cast<double>(m_endedRequests + 1)) : latestHoldWeight;
+    m_hold = std::max(Microseconds(1), interpolated(hold(), held, weight));
 }
 
-// Counts are used until the next ones come, so on average for half of the time
-// between two.
-void ServiceLoad::counted(Microseconds age, Instant now)
+// Counts are used until the next ones arrive, so their mean age in use is higher by half of the
+// interval.
+void ServiceLoad::countsReceived(Microseconds age, Instant now)
 {
     auto const inUse = m_countedAt ? age + (now - *m_countedAt) / 2 : age;
-    m_countsAge = m_countedAt ? movedTowards(m_countsAge, inUse, newestCountsWeight) : inUse;
+    m_countsAge = m_countedAt ? interpolated(m_countsAge, inUse, latestCountsWeight) : inUse;
     m_countedAt = now;
 }
 
-// Of all upstreams together the newest counts tell enough: chance levels out.
-void ServiceLoad::found(std::vector<CountedLoad> const& staying, std::vector<CountedLoad> const& others)
+// For all upstreams together the latest counts suffice, since fluctuations average out.
+void ServiceLoad::updateLoads(std::vector<CountedLoad> const& staying, std::vector<CountedLoad> const& others)
 {
     if (staying.empty())
         return;
     auto const sum = sumOf(staying);
     auto const all = sum.counted + sumOf(others).counted;
-    noteSpread(staying);
+    updateDispersion(staying);
     m_mean = sum.counted / static_cast<double>(staying.size());
-    // Where operators empty a hall, its upstreams soon hold nothing, and a bound by the mean of
-    // those that carry their load would be beyond the users'.
-    auto const judged = std::min(m_mean, all / static_cast<double>(staying.size() + others.size()));
-    m_meanInUse = foreseen(judged, all);
-    m_judgedMean = judged;
+    // While a hall is drained, its upstreams soon hold nothing. The users' limit refers to the mean
+    // over all upstreams, and one derived from the mean of those that stay would exceed it.
+    auto const limitMean = std::min(m_mean, all / static_cast<double>(staying.size() + others.size()));
+    m_predictedMean = predictedMean(limitMean, all);
+    m_limitMean = limitMean;
     m_stayingShare = static_cast<double>(staying.size()) / static_cast<double>(staying.size() + others.size());
-    m_foundAt = m_countedAt;
-    m_growth = sum.usual > 0 ? sum.counted / sum.usual : 1;
-    m_target = targetOfChance();
+    m_updatedAt = m_countedAt;
+    m_growth = sum.mean > 0 ? sum.counted / sum.mean : 1;
+    m_target = targetWithMargin();
 }
 
-// When a rush ends, the mean falls as requests end, and what is let in by the mean of a second
-// ago is beyond the bound. A fall that chance explains is none.
-double ServiceLoad::foreseen(double mean, double counted) const
+// When a surge ends, the mean falls as requests end, and an admission limit derived from the mean
+// of a second ago would exceed the users' limit. So a falling mean is extrapolated by the age of
+// the counts, unless random fluctuation explains the fall.
+double ServiceLoad::predictedMean(double mean, double counted) const
 {
-    if (!m_bounds.foreseesFall || !m_foundAt || !m_countedAt || *m_countedAt <= *m_foundAt || mean <= 0)
+    if (!m_bounds.foreseesFall || !m_updatedAt || !m_countedAt || *m_countedAt <= *m_updatedAt || mean <= 0)
         return mean;
-    auto const chance = deviationsOfFall / std::sqrt(std::max(1.0, counted));
-    auto const fall = std::log(m_judgedMean / mean);
-    if (!(fall > chance))
+    auto const randomFall = fallDeviations / std::sqrt(std::max(1.0, counted));
+    auto const fall = std::log(m_limitMean / mean);
+    if (!(fall > randomFall))
         return mean;
-    auto const perSecond = std::min(fall / asSeconds(*m_countedAt - *m_foundAt), 1 / asSeconds(hold()));
+    auto const perSecond = std::min(fall / asSeconds(*m_countedAt - *m_updatedAt), 1 / asSeconds(hold()));
     return mean * std::exp(-perSecond * asSeconds(m_countsAge));
 }
 
-// Requests of one context come in clumps, and an upstream that reads a long prompt
-// keeps all others waiting, so loads scatter more than independent requests would.
-// By the mean deviation, which one rush does not decide, as the variance would.
-void ServiceLoad::noteSpread(std::vector<CountedLoad> const& loads)
+// Requests of one context arrive in bursts, and an upstream that reads a long prompt delays its
+// other requests, so loads vary more than with independent requests. The dispersion is derived
+// from the mean absolute deviation, since a single surge would dominate the variance.
+void ServiceLoad::updateDispersion(std::vector<CountedLoad> const& loads)
 {
     double deviations = 0;
     double independent = 0;
     for (auto const& load : loads) {
-        if (load.usual < leastUsual)
+        if (load.mean < minMean)
             continue;
-        deviations += std::abs(load.counted - load.usual);
-        independent += meanOfNormalDeviation * std::sqrt(load.usual);
+        deviations += std::abs(load.counted - load.mean);
+        independent += meanAbsoluteNormalDeviation * std::sqrt(load.mean);
     }
     if (independent == 0)
         return;
     auto const ratio = deviations / independent;
-    m_spread = std::lerp(m_spread, std::clamp(ratio * ratio, leastSpread, mostSpread), newestCountsWeight);
+    m_dispersion = std::lerp(m_dispersion, std::clamp(ratio * ratio, minDispersion, maxDispersion), latestCountsWeight);
 }
 
 Microseconds ServiceLoad::hold() const
@@ -137,69 +142,70 @@
 
 bool ServiceLoad::areCountsFresh() const
 {
-    return shareStillThere(m_countsAge, hold()) >= m_bounds.leastFreshness;
+    return remainingFraction(m_countsAge, hold()) >= m_bounds.minRemainingForCounts;
 }
 
 bool ServiceLoad::areQueuesKnown() const
 {
-    return shareStillThere(m_countsAge, hold()) >= m_bounds.leastFreshnessOfQueues;
+    return remainingFraction(m_countsAge, hold()) >= m_bounds.minRemainingForQueues;
 }
 
-// Of the mean of those that stay, the part by which the users judge.
-double ServiceLoad::judgedShare() const
+// The ratio of the mean that the users' limit refers to, and the mean of staying upstreams.
+double ServiceLoad::limitMeanRatio() const
 {
-    return m_mean > 0 ? m_judgedMean / m_mean : 1;
+    return m_mean > 0 ? m_limitMean / m_mean : 1;
 }
 
-double ServiceLoad::usable(double mean) const
+double ServiceLoad::contextLoadLimit(double mean) const
 {
-    return (1 + m_bounds.usableExcess * (m_bounds.loadMultiple - 1)) * judgedShare() * mean + m_bounds.usableSlack;
+    return (1 + m_bounds.usableExcess * (m_bounds.loadMultiple - 1)) * limitMeanRatio() * mean + m_bounds.usableSlack;
 }
 
-double ServiceLoad::usable(double mean, size_t places) const
+double ServiceLoad::contextLoadLimit(double mean, size_t slots) const
 {
-    return withoutQueue(usable(mean), mean, places);
+    return limitedToSlots(contextLoadLimit(mean), mean, slots);
 }
 
-size_t ServiceLoad::grantable(size_t places) const
+size_t ServiceLoad::ownerGrantLimit(size_t slots) const
 {
-    auto const bound = (1 + m_bounds.usableExcess * (m_bounds.loadMultiple - 1)) * m_meanInUse + m_bounds.loadSlack;
-    return static_cast<size_t>(withoutQueue(bound, m_meanInUse, places));
+    auto const bound = (1 + m_bounds.usableExcess * (m_bounds.loadMultiple - 1)) * m_predictedMean + m_bounds.loadSlack;
+    return static_cast<size_t>(limitedToSlots(bound, m_predictedMean, slots));
 }
 
-// With so many at each that stays, filled as evenly as can be expected, the mean of all is just
-// what allows one more. A bound by counts of the mean instead would follow its own effect down.
-std::optional<size_t> ServiceLoad::most() const
+// The maximum n for which the users' limit is n - 1 when every staying upstream is filled up to
+// n, as evenly as can be expected. A maximum derived from the counted mean would lower that mean
+// and thereby itself, again and again.
+std::optional<size_t> ServiceLoad::maxLoad() const
 {
-    auto const raised = m_bounds.loadMultiple * evenness * m_stayingShare;
+    auto const raised = m_bounds.loadMultiple * achievedFillFraction * m_stayingShare;
     if (raised >= 1)
         return {};
     return static_cast<size_t>((m_bounds.loadSlack + 1) / (1 - raised));
 }
 
-double ServiceLoad::target(size_t places) const
+double ServiceLoad::target(size_t slots) const
 {
-    return withoutQueue(m_target, m_mean, places);
+    return limitedToSlots(m_target, m_mean, slots);
 }
 
-// The load, in the mean, with which an upstream hardly ever exceeds what the users
-// allow: what has come since it was counted comes and goes by chance, with a
-// variance of as many requests.
-double ServiceLoad::targetOfChance() const
+// The mean load at which an upstream hardly ever exceeds the users' limit. The part of the load
+// that has changed since the last count fluctuates randomly; its variance is the number of those
+// requests times the dispersion. The load x solves x + c * sqrt(x) = limit.
+double ServiceLoad::targetWithMargin() const
 {
-    auto const allowed = m_bounds.loadMultiple * m_judgedMean + m_bounds.loadSlack;
-    auto const chance = deviationsBelowBound * std::sqrt(m_spread * (1 - shareStillThere(m_countsAge, hold())));
-    auto const root = (std::sqrt(chance * chance + 4 * allowed) - chance) / 2;
-    return std::min(usable(m_mean), root * root);
+    auto const allowed = m_bounds.loadMultiple * m_limitMean + m_bounds.loadSlack;
+    auto const margin = marginDeviations * std::sqrt(m_dispersion * (1 - remainingFraction(m_countsAge, hold())));
+    auto const root = (std::sqrt(margin * margin + 4 * allowed) - margin) / 2;
+    return std::min(contextLoadLimit(m_mean), root * root);
 }
 
-// A count that is so far above the mean is no chance: a rush to this upstream has
-// begun, which its mean would show only seconds later.
-double ServiceLoad::standing(CountedLoad const& load) const
+// A count too far above the mean for random fluctuation shows that a surge to this upstream has
+// begun, which its moving mean would show only seconds later.
+double ServiceLoad::adjustedLoad(CountedLoad const& load) const
 {
-    auto const usual = m_growth * load.usual;
-    auto const rush = usual + deviationsOfRush * std::sqrt(m_spread * std::max(leastUsual, usual));
-    return load.counted > rush ? load.counted : usual;
+    auto const mean = m_growth * load.mean;
+    auto const surgeThreshold = mean + surgeDeviations * std::sqrt(m_dispersion * std::max(minMean, mean));
+    return load.counted > surgeThreshold ? load.counted : mean;
 }
 
 }
--- a/Libraries/LibRouting/ServiceLoad.h
+++ b/Libraries/LibRouting/ServiceLoad.h
@@ -7,32 +7,33 @@
 
 namespace Stagepost {
 
-// What one upstream held when the others' requests were counted last, and in the mean.
+// The load of one upstream: at the last count, and its moving mean.
 struct CountedLoad {
     double counted { 0 };
-    double usual { 0 };
+    double mean { 0 };
 };
 
-// How the load of a service behaves over all of its upstreams, and what one of them may
-// hold: how long requests stay, how old counts are, how far chance carries a load from
-// its mean, and how all loads have grown.
+// Load statistics over all upstreams of a service, and the load limits of a single upstream
+// that follow from them: the hold time of requests, the age of counts, the dispersion of loads
+// about their means, and the recent growth of all loads.
 class ServiceLoad {
 public:
     struct Bounds {
-        // What the users allow an upstream to hold: a multiple of the service's
-        // mean load, and some requests more.
+        // The users' limit of an upstream's load: loadMultiple times the service's mean load,
+        // plus loadSlack requests.
         double loadMultiple { 2 };
         double loadSlack { 3 };
-        // Of what they allow above the mean, and in requests more, what is used: the
-        // mean can fall after a request was let in.
+        // The fraction of the users' excess over the mean, and the number of further requests,
+        // that placement uses, since the mean may fall after a request was admitted.
         double usableExcess { 0.5 };
         double usableSlack { 2 };
-        // Counts of which less than this share still holds are too old to go by one by one:
-        // all daemons would send to the same upstream until it shows in the next counts.
-        double leastFreshness { 0.3 };
-        // Counts of which less than this share still holds say nothing of queues.
-        double leastFreshnessOfQueues { 0.1 };
-        // What experiments switch off one by one, see GatewayPolicies.
+        // If a smaller fraction of the counted requests is still in flight when counts are used,
+        // upstreams aren't chosen by individual counts: all daemons would send to the same
+        // upstream until the next counts show it.
+        double minRemainingForCounts { 0.3 };
+        // If a smaller fraction is still in flight, the counts don't show queues.
+        double minRemainingForQueues { 0.1 };
+        // Policies that experiments can switch off, see GatewayPolicies.
         bool foreseesFall { true };
         bool learnsHoldAtOnce { true };
         bool isCautious { true };
@@ -43,64 +44,64 @@
     {
     }
 
-    // A request has ended that stayed at its upstream for so long.
-    void ended(Microseconds held);
-    // Counts have come that were so old.
-    void counted(Microseconds age, Instant now);
-    // What they tell of all upstreams that stay, and of those that get nothing further but are
-    // still there: the users judge by the mean of all.
-    void found(std::vector<CountedLoad> const& staying, std::vector<CountedLoad> const& others);
+    // A request has ended that its upstream held for that time.
+    void requestEnded(Microseconds held);
+    // Counts of that age have arrived.
+    void countsReceived(Microseconds age, Instant now);
+    // Updates the statistics from the loads of the upstreams that stay, and of those that are
+    // leaving and get no new requests. The users' limit refers to the mean of both.
+    void updateLoads(std::vector<CountedLoad> const& staying, std::vector<CountedLoad> const& others);
 
     Bounds const& bounds() const { return m_bounds; }
-    // How long requests stay, a moving mean.
+    // The moving mean of the hold time.
     Microseconds hold() const;
-    // How old the others' counts are when they are used, a moving mean.
+    // The moving mean of the age of the other daemons' counts when they are used.
     Microseconds countsAge() const { return m_countsAge; }
-    // Whether counts may be gone by one by one.
+    // Whether counts are recent enough to choose an upstream by its own count.
     bool areCountsFresh() const;
-    // Whether counts tell of queues.
+    // Whether counts are recent enough to show queues.
     bool areQueuesKnown() const;
 
-    // Beyond which an upstream with so many places takes nothing for a context's sake.
-    double usable(double mean, size_t places) const;
-    // What such an upstream is to hold in the mean.
-    double target(size_t places) const;
-    // How many an upstream with so many places may hold for its owner to let in one more. The
-    // count is exact, so nothing is kept back for chance; what is kept is for the mean, which
-    // is a second old and may fall.
-    size_t grantable(size_t places) const;
-    // What an upstream may hold at most, whatever the mean, where so few of a service's upstreams
-    // take requests that their mean alone could come to the users' bound: then requests have to
-    // be turned away. None where spreading them is enough.
-    std::optional<size_t> most() const;
-    // What each upstream that stays holds in the mean.
+    // The load above which an upstream with that many slots isn't chosen for its context.
+    double contextLoadLimit(double mean, size_t slots) const;
+    // The mean load intended for an upstream with that many slots.
+    double target(size_t slots) const;
+    // The highest count at which the owner of an upstream with that many slots admits another
+    // request. The owner's count is exact, so no margin for fluctuation is needed, only one for
+    // the mean, which is a second old and may fall.
+    size_t ownerGrantLimit(size_t slots) const;
+    // The absolute maximum for an upstream, if so few of the service's upstreams take requests
+    // that even their mean could reach the users' limit and requests have to be refused. None if
+    // distributing the requests is enough.
+    std::optional<size_t> maxLoad() const;
+    // The mean load of the upstreams that stay.
     double mean() const { return m_mean; }
-    // What an upstream holds in the mean, as all have grown since, or more where there
-    // is a rush to it.
-    double standing(CountedLoad const&) const;
+    // The mean load of an upstream scaled by the growth of all loads, or its last count during a
+    // surge to it.
+    double adjustedLoad(CountedLoad const&) const;
 
 private:
-    double usable(double mean) const;
-    double targetOfChance() const;
-    void noteSpread(std::vector<CountedLoad> const&);
-    double foreseen(double mean, double counted) const;
-    double judgedShare() const;
+    double contextLoadLimit(double mean) const;
+    double targetWithMargin() const;
+    void updateDispersion(std::vector<CountedLoad> const&);
+    double predictedMean(double mean, double counted) const;
+    double limitMeanRatio() const;
 
     Bounds m_bounds;
     Microseconds m_hold { 0 };
-    size_t m_ended { 0 };
+    size_t m_endedRequests { 0 };
     Microseconds m_countsAge { 0 };
     std::optional<Instant> m_countedAt;
-    // The variance of upstreams' loads about their means, in units of that of requests
-    // that come and go independently of one another; a moving mean.
-    double m_spread { 1 };
+    // Moving mean of the index of dispersion: the variance of the upstreams' loads about their
+    // means, relative to that of independent requests.
+    double m_dispersion { 1 };
     double m_mean { 0 };
-    // The mean by which the users judge, or that of those that stay where it is lower.
-    double m_judgedMean { 0 };
-    // The same as it is likely to be while counts of it are used.
-    double m_meanInUse { 0 };
-    std::optional<Instant> m_foundAt;
-    // Of all upstreams that count in the mean, those that stay.
+    // The mean that the users' limit refers to, or that of the staying upstreams if it is lower.
+    double m_limitMean { 0 };
+    // m_limitMean as predicted for the time in which the counts are used.
+    double m_predictedMean { 0 };
+    std::optional<Instant> m_updatedAt;
+    // The fraction of upstreams that stay.
     double m_stayingShare { 1 };
     double m_growth { 1 };
     double m_target { 0 };
