--- a/Libraries/LibRouting/Routing.h
+++ b/Libraries/LibRouting/Routing.h
@@ -4,11 +4,12 @@
 // is refused and what is tried again. Nothing in it opens a socket, reads a clock
 // or starts a thread; it takes messages and the time, and gives decisions.
 
+#include <LibRouting/AcceptedShare.h>
 #include <LibRouting/AdmissionCap.h>
 #include <LibRouting/AdmissionGate.h>
 #include <LibRouting/AdmissionNode.h>
 #include <LibRouting/CircuitBreaker.h>
-#include <LibRouting/ColdBound.h>
+#include <LibRouting/ColdStartLimit.h>
 #include <LibRouting/ContextHolders.h>
 #include <LibRouting/ContextTable.h>
 #include <LibRouting/CrashExchange.h>
@@ -38,8 +39,7 @@
 #include <LibRouting/ServiceLoad.h>
 #include <LibRouting/ServicePlacement.h>
 #include <LibRouting/ShareExchange.h>
-#include <LibRouting/SilenceWatch.h>
-#include <LibRouting/TakenShare.h>
+#include <LibRouting/SilenceDetector.h>
+#include <LibRouting/UpstreamBackoff.h>
 #include <LibRouting/UpstreamHealth.h>
 #include <LibRouting/UpstreamOwner.h>
-#include <LibRouting/UpstreamRest.h>
--- a/Libraries/LibRouting/ServicePlacement.h
+++ b/Libraries/LibRouting/ServicePlacement.h
@@ -2,30 +2,30 @@
 
 #include <LibBase/Hooks.h>
 #include <LibBase/Ids.h>
+#include <LibRouting/AcceptedShare.h>
 #include <LibRouting/AdmissionGate.h>
 #include <LibRouting/LedgerExchange.h>
 #include <LibRouting/LoadEstimate.h>
 #include <LibRouting/PlacementRule.h>
 #include <LibRouting/PromptChain.h>
 #include <LibRouting/ServiceLoad.h>
-#include <LibRouting/SilenceWatch.h>
-#include <LibRouting/TakenShare.h>
+#include <LibRouting/SilenceDetector.h>
+#include <LibRouting/UpstreamBackoff.h>
 #include <LibRouting/UpstreamHealth.h>
-#include <LibRouting/UpstreamRest.h>
 #include <map>
 #include <optional>
 #include <vector>
 
 namespace Stagepost {
 
-// What answers of a service hardly ever exceed at present until they begin.
-struct UsualWaits {
+// Waits for the start of an answer that the service hardly ever exceeds at present.
+struct WaitBounds {
     Microseconds forAny { 0 };
-    // For one with as long a prompt, where all of it has to be read first.
+    // For a request with a prompt of the given length that has to be read completely.
     Microseconds forPrompt { 0 };
 };
 
-// One upstream of a service, as placement needs it.
+// The properties of an upstream that placement uses.
 struct ServiceUpstream {
     UpstreamId id;
     bool isInOwnHall { false };
@@ -34,172 +34,170 @@
     HallId hall {};
 };
 
-// How a request that was sent to an upstream ended.
+// The outcome of sending a request to an upstream.
 enum class SendOutcome : uint8_t {
     Succeeded,
-    // The upstream answered that it failed.
+    // The upstream answered with an error.
     Failed,
     // The upstream refused without running the request.
     Refused,
-    // No answer, or none that can be used.
-    Broke,
-    // No connection came up, so nothing was sent.
-    Unreachable,
-    // Nothing is known of the upstream: the caller left, or it was never asked.
+    // No answer arrived, or an unusable one.
+    NoUsableAnswer,
+    // No connection was established, so nothing was sent.
+    ConnectFailed,
+    // The outcome says nothing about the upstream: the caller disconnected, or nothing was sent.
     Unknown,
 };
 
-// Chooses the upstream of one service for each request, by this daemon's own
-// requests, the reports in the upstreams' answers, how those answers turned out, and
-// what the other daemons have in flight. Requests with a context go to the first
-// upstream of the context's rendezvous order, which all daemons agree on without
-// asking, as far as it has room for them; others go where they are expected to be
-// answered soonest.
+// Chooses the upstream for each request of a service, from this daemon's requests in flight, the
+// load reports in upstreams' answers, the outcomes of requests, and the other daemons' requests
+// in flight. A request with a context is placed on the first upstream with room in the context's
+// rendezvous order, which all daemons compute independently. Other requests are placed where
+// the expected wait is shortest.
 class ServicePlacement {
 public:
     using Bounds = ServiceLoad::Bounds;
 
-    // The watch is shared by all services: halls fall silent, not services.
-    ServicePlacement(Bounds bounds, SilenceWatch const& silence, RandomHook random)
-        : m_silence(silence)
+    // The silence detector is shared by all services, since a whole hall becomes unreachable.
+    ServicePlacement(Bounds bounds, SilenceDetector const& silence, RandomHook random)
+        : m_silenceDetector(silence)
         , m_random(std::move(random))
         , m_load(bounds)
     {
     }
 
-    // Adds an upstream, or changes one, of which all else that is known stays.
+    // Adds an upstream or updates its properties; the state of a known one is kept.
     void putUpstream(ServiceUpstream const&);
     void removeUpstream(UpstreamId id) { m_upstreams.erase(id); }
 
-    // What upstreams of the service take while they are cold.
-    void setColdBound(ColdBound const& bound) { m_coldBound = bound; }
-    // The upstream is cold until then; none where it is warm.
-    void noteCold(UpstreamId, std::optional<Instant> until);
-    // It is to be taken for one that has just started.
-    void noteStarted(UpstreamId id, Instant now) { noteCold(id, now + m_coldBound.duration); }
-    // Whether it gets only what its owner allows.
+    // Sets the rate limit for cold upstreams of the service.
+    void setColdStartLimit(ColdStartLimit const& limit) { m_coldStartLimit = limit; }
+    // Marks the upstream as cold until the given time, or as warm if there is none.
+    void setColdUntil(UpstreamId, std::optional<Instant> until);
+    // Treats the upstream as just started.
+    void markStarted(UpstreamId id, Instant now) { setColdUntil(id, now + m_coldStartLimit.duration); }
+    // Whether any upstream is cold; cold ones receive only requests granted by an owner.
     bool hasCold(Instant now) const { return coldCount(now) > 0; }
     size_t coldCount(Instant now) const;
 
-    struct Wish {
-        // The context that decides where the request is best sent, if any.
+    struct Request {
+        // Key of the shared prompt prefix that determines the preferred upstream, if any.
         std::optional<uint64_t> context;
-        // Upstreams that have failed this request already.
+        // Upstreams on which this request has already failed.
         std::vector<UpstreamId> excluded;
-        // Whether it may be sent again if it fails.
+        // Whether the request may be repeated after a failure.
         bool isRepeatable { false };
         // 0 is the most urgent.
         unsigned priority { 0 };
-        // Upstreams that are to get nothing further by now, where there are others.
+        // Upstreams that may be cold and whose limit is used up; chosen only if there are no others.
         std::vector<UpstreamId> avoided {};
     };
     struct Choice {
         UpstreamId upstream;
-        // The other upstream that is most likely to hold the context: taking it
-        // from there costs a fraction of reading it again.
+        // Another upstream that probably holds the context. Fetching the context from there costs
+        // a fraction of recomputing it.
         std::optional<UpstreamId> contextSource;
-        // Whether it is in doubt that the upstream can be reached: the request is
-        // sent only on a connection that has just come up.
-        bool isInDoubt { false };
+        // Whether the upstream may be unreachable, so that the request must be sent on a newly
+        // established connection.
+        bool needsNewConnection { false };
         PlacementReason reason;
     };
-    std::optional<Choice> choose(Wish const&, Instant now);
-
-    // What upstreams' owners are asked about a request with a context: the first of its
-    // order, and up to how much each may hold to take it. None where it is to try an upstream
-    // that did not answer, or where there is none: choose() decides then.
-    // One without a context is asked for only where chance has it go to a cold upstream.
-    std::vector<LedgerExchange::Candidate> candidatesForOwners(Wish const&, Instant now);
-    // The choice that their answers made; none where the upstream is gone or leaving by now.
-    std::optional<Choice> chosenByOwners(Wish const&, LedgerExchange::Outcome const&, Instant now);
-    // The first of those that can be reached and is not the chosen one.
-    std::optional<UpstreamId> sourceAmong(std::vector<UpstreamId> const& holders, UpstreamId chosen, Instant now) const;
-    // What an upstream is likely to hold, as far as this daemon can tell by itself.
+    std::optional<Choice> choose(Request const&, Instant now);
+
+    // The upstreams whose owners are asked about a request, with the load limit for a grant: the
+    // first ones in the rendezvous order of its context. Without a context, owners are asked only
+    // if a cold upstream is drawn at random. If there are none, or the request is to be a trial
+    // for an upstream that didn't answer, the result is empty and choose() decides.
+    std::vector<LedgerExchange::Candidate> candidatesForOwners(Request const&, Instant now);
+    // The choice from the owners' answers; none if the upstream has become unavailable since.
+    std::optional<Choice> choiceFromOwners(Request const&, LedgerExchange::Outcome const&, Instant now);
+    // The first of the holders that can provide a context and isn't the chosen upstream.
+    std::optional<UpstreamId> firstUsableSource(std::vector<UpstreamId> const& holders, UpstreamId chosen, Instant now) const;
+    // The expected load of an upstream, from this daemon's own data.
     UpstreamForecast forecast(UpstreamId, Instant now) const;
 
     void started(UpstreamId);
-    // How long the answer took to begin, and the request to end.
+    // A request has ended; its answer started after `took`, and the request ended after `held`.
     void finished(UpstreamId, SendOutcome, Microseconds took, Microseconds held, Instant now);
     void reported(UpstreamId, UpstreamLoadReport const&, Instant now);
-    // The upstream wants nothing of this daemon for so long.
-    void askedForRest(UpstreamId, Microseconds duration, Instant now);
-    // What is left of that, where it rests.
-    Microseconds restLeft(UpstreamId, Instant now) const;
-    size_t restingCount(Instant now) const;
-    // What all other daemons had in flight so long ago; nothing at upstreams that are
-    // not in it.
-    void othersCounted(std::map<UpstreamId, size_t> const&, Microseconds age, Instant now);
-    // What this daemon has in flight; upstreams with nothing are left out.
+    // The upstream has asked this daemon to send no requests for the duration.
+    void backoffRequested(UpstreamId, Microseconds duration, Instant now);
+    // The remaining back-off of the upstream; zero if there is none.
+    Microseconds remainingBackoff(UpstreamId, Instant now) const;
+    size_t backingOffCount(Instant now) const;
+    // Sets the number of requests that all other daemons had in flight at each upstream when the
+    // counts had that age. Upstreams that aren't listed had none.
+    void updateOthersInFlight(std::map<UpstreamId, size_t> const&, Microseconds age, Instant now);
+    // This daemon's requests in flight, without upstreams that have none.
     std::vector<std::pair<UpstreamId, size_t>> ownInFlight() const;
 
-    // How long the service's answers hardly ever take to begin at present, where the
-    // prompt has so many tokens.
-    UsualWaits usualWaits(uint64_t promptTokens) const;
-    // An answer to such a prompt began after that long.
-    void began(uint64_t promptTokens, Microseconds took);
+    // The waits that answers hardly ever exceed for a prompt of that many tokens.
+    WaitBounds waitBounds(uint64_t promptTokens) const;
+    // Records how long an answer to a prompt of that many tokens took to start.
+    void recordFirstByteWait(uint64_t promptTokens, Microseconds took);
 
-    // How full the upstreams are that stay.
+    // Utilisation of the upstreams that aren't leaving.
     ServiceOccupancy occupancy() const;
-    // How old the others' counts are when they are used, in the mean.
+    // Mean age of the other daemons' counts when they are used.
     Microseconds countsAge() const { return m_load.countsAge(); }
 
     size_t size() const { return m_upstreams.size(); }
-    // Those that take requests now, and those that have failed one that may be sent again.
+    // The number of upstreams that take requests now or are among the failed ones.
     size_t sizeForRetry(std::vector<UpstreamId> const& failed, Instant now) const;
 
 private:
     struct Upstream {
-        ServiceUpstream facts;
+        ServiceUpstream properties;
         LoadEstimate load;
-        TakenShare share;
+        AcceptedShare share;
         UpstreamHealth health;
-        UpstreamRest rest;
-        // How long answers take there, a moving mean; 0 until the first.
-        double tookSeconds { 0 };
-        Instant tookAt;
+        UpstreamBackoff backoff;
+        // Moving mean of the time until an answer starts; 0 until the first answer.
+        double meanAnswerSeconds { 0 };
+        Instant lastAnswerAt;
         std::optional<Instant> coldUntil;
     };
 
     bool isCold(Upstream const&, Instant now) const;
     std::vector<Upstream*> warm(std::vector<Upstream*> const&, Instant now) const;
-    std::vector<Upstream*> coldThatMayBeAsked(Wish const&, std::vector<Upstream*> const&, Instant now) const;
-    std::vector<Upstream*> coldByChance(Wish const&, std::vector<Upstream*> const&, Instant now);
-    std::vector<LedgerExchange::Candidate> asCandidates(Wish const&, std::vector<Upstream*> const&, Instant now) const;
-    std::optional<size_t> mostFor(Wish const&) const;
-    std::optional<ColdNotice> coldNotice(Upstream const&, Instant now) const;
+    std::vector<Upstream*> availableCold(Request const&, std::vector<Upstream*> const&, Instant now) const;
+    std::vector<Upstream*> randomCold(Request const&, std::vector<Upstream*> const&, Instant now);
+    std::vector<LedgerExchange::Candidate> ownerCandidates(Request const&, std::vector<Upstream*> const&, Instant now) const;
+    std::optional<size_t> maxLoadFor(Request const&) const;
+    std::optional<ColdStartNotice> coldNotice(Upstream const&, Instant now) const;
     static bool takesRequests(Upstream const&, Instant now);
-    std::vector<Upstream*> staying(Wish const&, Instant now);
-    Upstream* restingForTrial(Wish const&, Instant now);
-    std::vector<Upstream*> candidates(Wish const&, Instant now);
-    static std::vector<Upstream*> notAvoided(Wish const&, std::vector<Upstream*> const&);
-    Upstream* trialFor(Wish const&, std::vector<Upstream*> const& usable, Instant now) const;
+    std::vector<Upstream*> available(Request const&, Instant now);
+    Upstream* backingOffForTrial(Request const&, Instant now);
+    std::vector<Upstream*> candidates(Request const&, Instant now);
+    static std::vector<Upstream*> notAvoided(Request const&, std::vector<Upstream*> const&);
+    Upstream* trialFor(Request const&, std::vector<Upstream*> const& usable, Instant now) const;
     std::vector<Upstream*> answering(std::vector<Upstream*> const& usable, Instant now) const;
     std::vector<Upstream*> reachable(std::vector<Upstream*> const&, Instant now) const;
-    std::vector<Upstream*> sound(std::vector<Upstream*> const&, Instant now) const;
-    double mean(std::vector<Upstream*> const&, Instant now) const;
-    Choice finish(Wish const&, UpstreamId, PlacementReason, Instant now) const;
+    std::vector<Upstream*> healthy(std::vector<Upstream*> const&, Instant now) const;
+    double meanLoad(std::vector<Upstream*> const&, Instant now) const;
+    Choice makeChoice(Request const&, UpstreamId, PlacementReason, Instant now) const;
     PlacementRule ruleForContexts() const;
-    bool hasRoomForCaution() const;
+    bool canLimitUnconfirmedCold() const;
     UpstreamId chooseByContext(PlacementRule, std::vector<Upstream*> const&, uint64_t context, Instant now) const;
     UpstreamId chooseByCount(std::vector<Upstream*> const&, uint64_t context, double mean, Instant now) const;
     UpstreamId chooseByShare(std::vector<Upstream*> const&, uint64_t context, double mean, Instant now) const;
-    bool takes(Upstream const&, double mean) const;
-    size_t widthOfSpill(Upstream const& home, size_t others) const;
-    void noteWait(SendOutcome, Microseconds took, Microseconds held);
+    bool accepts(Upstream const&, double mean) const;
+    size_t spillWidth(Upstream const& home, size_t others) const;
+    void recordWait(SendOutcome, Microseconds took, Microseconds held);
     void adjustShares(Instant now);
-    bool canGive(Upstream const&, Reach hall, Instant now) const;
+    bool canProvideContext(Upstream const&, Reach hall, Instant now) const;
     std::optional<UpstreamId> contextSource(uint64_t context, UpstreamId chosen, Instant now) const;
     Upstream* chooseByWait(std::vector<Upstream*> const&, Instant now) const;
-    double expectedWait(Upstream const&, double usual, Instant now) const;
+    double expectedWait(Upstream const&, double typical, Instant now) const;
 
-    SilenceWatch const& m_silence;
+    SilenceDetector const& m_silenceDetector;
     RandomHook m_random;
     ServiceLoad m_load;
-    ColdBound m_coldBound;
+    ColdStartLimit m_coldStartLimit;
     std::map<UpstreamId, Upstream> m_upstreams;
     WaitEstimate m_waits;
-    // For each thousand tokens of the prompt.
-    WaitEstimate m_waitsForTokens;
+    // Waits per tokensPerWaitUnit tokens of the prompt.
+    WaitEstimate m_waitsPerTokens;
 };
 
 }
--- a/Tests/LibRouting/TestServicePlacement.cpp
+++ b/Tests/LibRouting/TestServicePlacement.cpp
@@ -17,30 +17,30 @@
     return [engine = std::make_shared<std::mt19937_64>(seed)] { return (*engine)(); };
 }
 
-// Of tests in which nothing falls silent.
-SilenceWatch const nobodySilent;
+// For tests without silent upstreams.
+SilenceDetector const idleSilenceDetector;
 
 ServicePlacement placementOf(size_t upstreams, size_t ownHall = 0, uint64_t seed = 1)
 {
-    ServicePlacement placement({}, nobodySilent, seeded(seed));
+    ServicePlacement placement({}, idleSilenceDetector, seeded(seed));
     for (size_t number = 1; number <= upstreams; ++number)
         placement.putUpstream({ UpstreamId(number), number <= ownHall, 4, false, HallId(1) });
     return placement;
 }
 
-ServicePlacement::Wish wishFor(uint64_t context, bool isRepeatable = true)
+ServicePlacement::Request requestFor(uint64_t context, bool isRepeatable = true)
 {
-    ServicePlacement::Wish wish;
-    wish.context = context;
-    wish.isRepeatable = isRepeatable;
-    return wish;
+    ServicePlacement::Request request;
+    request.context = context;
+    request.isRepeatable = isRepeatable;
+    return request;
 }
 
 }
 
 BOOST_AUTO_TEST_SUITE(ServicePlacementTests)
 
-BOOST_AUTO_TEST_CASE(AChainNamesAPartWithAllBeforeIt)
+BOOST_AUTO_TEST_CASE(PromptPartKeysCoverTheWholePrefix)
 {
     PromptChain first;
     first.add("a", 100);
@@ -56,80 +56,81 @@
     BOOST_TEST(!PromptChain().sharedKey().has_value());
 }
 
-// One of many daemons before a service of short calls: what the others had in flight a while ago
-// is over by now, and says nothing of a queue.
-BOOST_AUTO_TEST_CASE(AFewShortCallsTellThatOldCountsSayNothingOfQueues)
+// With short calls, the requests in the other daemons' old counts have ended by now. Requests must
+// not be refused because of a queue that these counts seem to show.
+BOOST_AUTO_TEST_CASE(OldCountsOfShortCallsDoNotCauseRefusals)
 {
     auto placement = placementOf(3);
     for (int call = 0; call < 12; ++call) {
         placement.started(UpstreamId(1));
         placement.finished(UpstreamId(1), SendOutcome::Succeeded, Milliseconds(40), Milliseconds(40), at(6 + call * 0.5));
     }
-    placement.othersCounted({ { UpstreamId(1), 5 }, { UpstreamId(2), 4 }, { UpstreamId(3), 4 } }, Milliseconds(500), at(12));
+    placement.updateOthersInFlight({ { UpstreamId(1), 5 }, { UpstreamId(2), 4 }, { UpstreamId(3), 4 } }, Milliseconds(500), at(12));
     auto const occupancy = placement.occupancy();
-    BOOST_TEST(occupancy.perPlace > 1);
+    BOOST_TEST(occupancy.perSlot > 1);
     BOOST_TEST(AdmissionGate::refusedShare(occupancy, 2) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(DaemonsAgreeOnAContextsUpstreamWithoutAsking)
+BOOST_AUTO_TEST_CASE(DaemonsChooseTheSameUpstreamForAContext)
 {
     auto one = placementOf(9, 0, 1);
     auto other = placementOf(9, 0, 2);
     for (uint64_t context = 1; context < 200; ++context)
-        BOOST_TEST((one.choose(wishFor(context), at(1))->upstream == other.choose(wishFor(context), at(1))->upstream));
+        BOOST_TEST((one.choose(requestFor(context), at(1))->upstream == other.choose(requestFor(context), at(1))->upstream));
 }
 
-BOOST_AUTO_TEST_CASE(AChoiceSaysByWhichRuleItWasMade)
+BOOST_AUTO_TEST_CASE(AChoiceNamesItsPlacementRule)
 {
     auto placement = placementOf(9);
     BOOST_TEST((placement.choose({}, at(1))->reason.rule == PlacementRule::Wait));
-    BOOST_TEST((placement.choose(wishFor(5), at(1))->reason.rule == PlacementRule::Count));
-    // Far older than requests stay.
-    placement.othersCounted({ { UpstreamId(1), 9 } }, Milliseconds(5000), at(2));
-    placement.othersCounted({ { UpstreamId(1), 9 } }, Milliseconds(5000), at(4));
-    auto const byShare = placement.choose(wishFor(5), at(4))->reason;
+    BOOST_TEST((placement.choose(requestFor(5), at(1))->reason.rule == PlacementRule::Count));
+    // Counts far older than the hold time.
+    placement.updateOthersInFlight({ { UpstreamId(1), 9 } }, Milliseconds(5000), at(2));
+    placement.updateOthersInFlight({ { UpstreamId(1), 9 } }, Milliseconds(5000), at(4));
+    auto const byShare = placement.choose(requestFor(5), at(4))->reason;
     BOOST_TEST((byShare.rule == PlacementRule::Share));
     BOOST_TEST((byShare.countsAge > Milliseconds(5000)));
 }
 
-// A trial that waits for an owner in vain would be lost, and its upstream left out for a minute.
+// Guards against losing a trial that waits for an unresponsive owner, which would leave its upstream
+// without requests for a minute.
 BOOST_AUTO_TEST_CASE(NoOwnerIsAskedAboutATrial)
 {
     auto placement = placementOf(3);
-    auto const first = placement.choose(wishFor(5), at(1))->upstream;
-    BOOST_TEST(placement.candidatesForOwners(wishFor(5), at(1)).size() == 3u);
+    auto const first = placement.choose(requestFor(5), at(1))->upstream;
+    BOOST_TEST(placement.candidatesForOwners(requestFor(5), at(1)).size() == 3u);
     for (int request = 0; request < 2; ++request) {
         placement.started(first);
-        placement.finished(first, SendOutcome::Broke, Milliseconds(1), Milliseconds(1), at(1));
+        placement.finished(first, SendOutcome::NoUsableAnswer, Milliseconds(1), Milliseconds(1), at(1));
     }
-    // While its pause lasts the others are asked about.
-    BOOST_TEST(placement.candidatesForOwners(wishFor(5), at(1.1)).size() == 2u);
-    BOOST_TEST(placement.candidatesForOwners(wishFor(5), at(3)).empty());
-    BOOST_TEST(placement.candidatesForOwners(wishFor(5), at(3)).empty());
-    BOOST_TEST((placement.choose(wishFor(5), at(3))->upstream == first));
-    // It is under way.
-    BOOST_TEST(placement.candidatesForOwners(wishFor(5), at(3)).size() == 2u);
+    // During the breaker's pause, the owners of the other upstreams are asked.
+    BOOST_TEST(placement.candidatesForOwners(requestFor(5), at(1.1)).size() == 2u);
+    BOOST_TEST(placement.candidatesForOwners(requestFor(5), at(3)).empty());
+    BOOST_TEST(placement.candidatesForOwners(requestFor(5), at(3)).empty());
+    BOOST_TEST((placement.choose(requestFor(5), at(3))->upstream == first));
+    // The trial is in progress.
+    BOOST_TEST(placement.candidatesForOwners(requestFor(5), at(3)).size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(AHotContextSpillsAndNamesItsHolder)
+BOOST_AUTO_TEST_CASE(AnOverloadedContextIsPlacedElsewhereWithItsHolderAsSource)
 {
     auto placement = placementOf(9);
-    auto const first = placement.choose(wishFor(5), at(1))->upstream;
+    auto const first = placement.choose(requestFor(5), at(1))->upstream;
     for (int request = 0; request < 5; ++request)
         placement.started(first);
-    auto const spilled = placement.choose(wishFor(5), at(1));
+    auto const spilled = placement.choose(requestFor(5), at(1));
     BOOST_TEST((spilled->upstream != first));
     BOOST_TEST((*spilled->contextSource == first));
 }
 
-BOOST_AUTO_TEST_CASE(AnUpstreamThatJoinsTakesItsContextsFromWhoHadThem)
+BOOST_AUTO_TEST_CASE(ANewUpstreamFetchesItsContextsFromTheFormerHolders)
 {
     auto before = placementOf(9);
     auto after = placementOf(10);
     size_t moved = 0;
     for (uint64_t context = 1; context < 500; ++context) {
-        auto const old = before.choose(wishFor(context), at(1))->upstream;
-        auto const now = after.choose(wishFor(context), at(1));
+        auto const old = before.choose(requestFor(context), at(1))->upstream;
+        auto const now = after.choose(requestFor(context), at(1));
         if (now->upstream == old)
             continue;
         ++moved;
@@ -140,28 +141,28 @@
     BOOST_TEST(moved < 90u);
 }
 
-BOOST_AUTO_TEST_CASE(ALeavingUpstreamGetsNothingAndStillGivesItsContexts)
+BOOST_AUTO_TEST_CASE(ALeavingUpstreamTakesNoRequestsButProvidesItsContexts)
 {
     auto placement = placementOf(4);
-    auto const holder = placement.choose(wishFor(5), at(1))->upstream;
+    auto const holder = placement.choose(requestFor(5), at(1))->upstream;
     placement.putUpstream({ holder, false, 4, true, HallId(1) });
-    auto const choice = placement.choose(wishFor(5), at(1));
+    auto const choice = placement.choose(requestFor(5), at(1));
     BOOST_TEST((choice->upstream != holder));
     BOOST_TEST((*choice->contextSource == holder));
 }
 
-BOOST_AUTO_TEST_CASE(WhatOthersHaveInFlightCountsAndFades)
+BOOST_AUTO_TEST_CASE(OtherDaemonsRequestsCountAndDecay)
 {
     auto placement = placementOf(3);
-    auto const first = placement.choose(wishFor(5), at(1))->upstream;
-    placement.othersCounted({ { first, 30 } }, {}, at(1));
-    BOOST_TEST((placement.choose(wishFor(5), at(1))->upstream != first));
-    BOOST_TEST((placement.choose(wishFor(5), at(60))->upstream == first));
+    auto const first = placement.choose(requestFor(5), at(1))->upstream;
+    placement.updateOthersInFlight({ { first, 30 } }, {}, at(1));
+    BOOST_TEST((placement.choose(requestFor(5), at(1))->upstream != first));
+    BOOST_TEST((placement.choose(requestFor(5), at(60))->upstream == first));
     placement.reported(first, { 30, 0, 64 }, at(60));
-    BOOST_TEST((placement.choose(wishFor(5), at(60))->upstream != first));
+    BOOST_TEST((placement.choose(requestFor(5), at(60))->upstream != first));
 }
 
-BOOST_AUTO_TEST_CASE(TheOwnHallIsTakenAmongEqualsAndLeftWhenItIsSlow)
+BOOST_AUTO_TEST_CASE(TheOwnHallIsPreferredAmongEqualUpstreamsUnlessItIsSlow)
 {
     auto placement = placementOf(3, 1);
     for (int request = 0; request < 10; ++request) {
@@ -180,27 +181,27 @@
     BOOST_TEST((placement.choose({}, at(1))->upstream != UpstreamId(1)));
 }
 
-BOOST_AUTO_TEST_CASE(AnUpstreamThatDoesNotAnswerIsTriedAgainByWhatMayBeRepeated)
+BOOST_AUTO_TEST_CASE(ARepeatableRequestIsTheTrialOfAnUnansweringUpstream)
 {
     auto placement = placementOf(2);
     for (int failure = 0; failure < 2; ++failure) {
         placement.started(UpstreamId(1));
-        placement.finished(UpstreamId(1), SendOutcome::Broke, {}, {}, at(10));
+        placement.finished(UpstreamId(1), SendOutcome::NoUsableAnswer, {}, {}, at(10));
     }
-    ServicePlacement::Wish once;
-    ServicePlacement::Wish repeatable;
+    ServicePlacement::Request once;
+    ServicePlacement::Request repeatable;
     repeatable.isRepeatable = true;
     BOOST_TEST((placement.choose(repeatable, at(10.1))->upstream == UpstreamId(2)));
     BOOST_TEST((placement.choose(once, at(11))->upstream == UpstreamId(2)));
     BOOST_TEST((placement.choose(repeatable, at(11))->upstream == UpstreamId(1)));
-    // The one trial is out.
+    // The single trial is in progress.
     BOOST_TEST((placement.choose(repeatable, at(11))->upstream == UpstreamId(2)));
     placement.started(UpstreamId(1));
     placement.finished(UpstreamId(1), SendOutcome::Succeeded, Milliseconds(10), Milliseconds(10), at(11));
     BOOST_TEST((placement.choose(once, at(11)).has_value()));
 }
 
-BOOST_AUTO_TEST_CASE(AFailingMinorityIsPassedOverAndAFailingServiceIsNot)
+BOOST_AUTO_TEST_CASE(AFailingMinorityIsAvoidedButNotAFailingMajority)
 {
     auto placement = placementOf(4);
     auto const fail = [&](uint64_t upstream) {
@@ -212,7 +213,7 @@
     auto const chosen = [&] {
         std::set<UpstreamId> result;
         for (uint64_t context = 1; context < 100; ++context)
-            result.insert(placement.choose(wishFor(context), at(1))->upstream);
+            result.insert(placement.choose(requestFor(context), at(1))->upstream);
         return result;
     };
     fail(1);
@@ -222,33 +223,33 @@
     BOOST_TEST(chosen().size() == 4u);
 }
 
-// Each upstream would have to read the prompt anew, so leaving the first one early
-// only makes another reading.
-BOOST_AUTO_TEST_CASE(ALongPromptIsGivenTheTimeThatItsReadingTakes)
+// Another upstream would have to read the whole prompt again, so giving up the first one too early
+// only causes a second reading.
+BOOST_AUTO_TEST_CASE(WaitBoundsGrowWithThePromptLength)
 {
     auto placement = placementOf(2);
-    BOOST_TEST((placement.usualWaits(20000).forPrompt == Microseconds(0)));
+    BOOST_TEST((placement.waitBounds(20000).forPrompt == Microseconds(0)));
     for (int answer = 0; answer < 20; ++answer)
-        placement.began(10000, Milliseconds(300));
-    BOOST_TEST((placement.usualWaits(10000).forPrompt >= Milliseconds(300)));
-    BOOST_TEST((placement.usualWaits(20000).forPrompt >= Milliseconds(600)));
-    BOOST_TEST((placement.usualWaits(20000).forPrompt < Milliseconds(900)));
-    // Of a short prompt the wait tells of other things.
+        placement.recordFirstByteWait(10000, Milliseconds(300));
+    BOOST_TEST((placement.waitBounds(10000).forPrompt >= Milliseconds(300)));
+    BOOST_TEST((placement.waitBounds(20000).forPrompt >= Milliseconds(600)));
+    BOOST_TEST((placement.waitBounds(20000).forPrompt < Milliseconds(900)));
+    // The wait for a short prompt isn't dominated by reading it.
     auto other = placementOf(2);
-    other.began(300, Seconds(1));
-    BOOST_TEST((other.usualWaits(10000).forPrompt == Microseconds(0)));
+    other.recordFirstByteWait(300, Seconds(1));
+    BOOST_TEST((other.waitBounds(10000).forPrompt == Microseconds(0)));
 }
 
-BOOST_AUTO_TEST_CASE(AServiceWithoutUpstreamsHasNone)
+BOOST_AUTO_TEST_CASE(NoUpstreamIsChosenIfAllAreExcluded)
 {
     auto placement = placementOf(1);
-    ServicePlacement::Wish wish;
-    wish.excluded = { UpstreamId(1) };
-    BOOST_TEST(!placement.choose(wish, at(1)).has_value());
+    ServicePlacement::Request request;
+    request.excluded = { UpstreamId(1) };
+    BOOST_TEST(!placement.choose(request, at(1)).has_value());
 }
 
-// However the requests of a fleet fall, and whatever its daemons' shares of them
-// are, no window of the fleet has more retries than the budget.
+// However requests are distributed over time and daemons, the fleet's retries in any window stay
+// within the budget.
 BOOST_AUTO_TEST_CASE(TheFleetsRetriesStayWithinTheBudget)
 {
     BOOST_TEST(rc::check("any window of ten seconds", [](uint64_t seed, uint8_t daemons, uint8_t skew) {
@@ -269,7 +270,7 @@
                 auto& budget = budgets[random() % count * (random() % 3 ? 1 : 0)];
                 budget.requested(now);
                 ++requests.back();
-                // Everything fails, and is sent again as often as may be.
+                // Every request fails and is retried as often as the budget allows.
                 while (budget.mayRetry(now)) {
                     budget.retried(now);
                     ++retries.back();
