--- a/Libraries/LibRouting/AdmissionController.cpp
+++ b/Libraries/LibRouting/AdmissionController.cpp
@@ -16,7 +16,7 @@
                               [this](VMId to, RoutingMessage message) { enqueue(to, std::move(message), true); },
                               [this](VMId to, RoutingMessage message) { enqueue(to, std::move(message), false); },
                               m_hooks.policyOf,
-                              [this](PoolId pool, VMId to) { m_leaseServer.loads().rideAlong(pool, to, m_now); },
+                              [this](PoolId pool, VMId to) { m_leaseServer.loads().piggyback(pool, to, m_now); },
                               m_hooks.random,
                           })
     , m_shares([this](VMId to, RoutingMessage message) { enqueue(to, std::move(message), true); }, m_hooks.limitsOf)
@@ -65,9 +65,9 @@
         void operator()(LeaseRelease const& release) const { controller.m_leaseServer.handle(release, now); }
         void operator()(LeaseRenewal const& renew) const { controller.m_leaseServer.handle(renew, from, now); }
         void operator()(ChatMoved const& moved) const { controller.m_leaseServer.handle(moved); }
-        void operator()(PoolReport const& report) const { controller.m_leaseServer.loads().take(report, from, now); }
-        void operator()(DemandReport const& report) const { controller.m_shares.take(report, from, now); }
-        void operator()(DemandShare const& share) const { controller.m_shares.take(share, now); }
+        void operator()(PoolReport const& report) const { controller.m_leaseServer.loads().receive(report, from, now); }
+        void operator()(DemandReport const& report) const { controller.m_shares.receive(report, from, now); }
+        void operator()(DemandShare const& share) const { controller.m_shares.receive(share, now); }
     };
     std::visit(Visitor { *this, from, now }, message);
 }
--- a/Libraries/LibRouting/InFlightLedger.cpp
+++ b/Libraries/LibRouting/InFlightLedger.cpp
@@ -68,37 +68,37 @@
     auto const forecast = m_forecast(ask.upstream);
     auto const count = believed(forecast, account, standing.isFirst, now);
     auto const& cold = forecast.coldBound.exists() ? forecast.coldBound : account.toldBound;
-    auto const sends = account.sends.count(coldWindow, now);
+    auto const sends = account.sends.count(coldStartWindow, now);
     bool const isCold = forecast.isCold || now < account.toldColdUntil;
     if (isCold && sends >= partOf(standing.rank, cold))
         return { false, count, true };
-    if (forecast.hasRoomForCaution && sends >= cold.forCaution())
+    if (forecast.hasRoomForCaution && sends >= cold.unconfirmedLimit())
         return { false, count, true };
     LedgerVerdict verdict { count < ask.limit, count };
     verdict.isNewThere = ask.context && !account.contexts.contains(*ask.context);
     if (verdict.isGranted) {
         account.shares[from] = { ask.ownInFlight + 1, now };
-        account.sends.add(1, cold.most(), now);
+        account.sends.add(1, cold.fleetLimit(), now);
         if (ask.context)
             account.contexts.put(*ask.context, true);
     }
     return verdict;
 }
 
-size_t InFlightLedger::partOf(OwnerRank rank, ColdBound const& bound)
+size_t InFlightLedger::partOf(OwnerRank rank, ColdStartLimit const& bound)
 {
     switch (rank) {
     case OwnerRank::First:
-        return bound.forOwner();
+        return bound.ownerLimit();
     case OwnerRank::Next:
-        return bound.forNextOwner();
+        return bound.nextOwnerLimit();
     case OwnerRank::Further:
         return 0;
     }
     return 0;
 }
 
-void InFlightLedger::noteCold(Account& account, ColdNotice const& notice, Instant now)
+void InFlightLedger::noteCold(Account& account, ColdStartNotice const& notice, Instant now)
 {
     account.toldBound = notice.bound;
     account.toldColdUntil = std::max(account.toldColdUntil, now + std::min(notice.left, noticeMemory));
@@ -110,7 +110,7 @@
     if (!sends)
         return;
     auto const bound = m_forecast(upstream).coldBound;
-    account.sends.add(sends, bound.exists() ? bound.most() : account.toldBound.most(), now);
+    account.sends.add(sends, bound.exists() ? bound.fleetLimit() : account.toldBound.fleetLimit(), now);
 }
 
 void InFlightLedger::told(VMId from, UpstreamId upstream, size_t ownInFlight, Instant now)
--- a/Libraries/LibRouting/InFlightLedger.h
+++ b/Libraries/LibRouting/InFlightLedger.h
@@ -2,7 +2,7 @@
 
 #include <LibBase/Ids.h>
 #include <LibBase/Time.h>
-#include <LibRouting/ColdBound.h>
+#include <LibRouting/ColdStartLimit.h>
 #include <LibRouting/LedgerMessage.h>
 #include <LibRouting/RecentMap.h>
 #include <LibRouting/SendWindow.h>
@@ -19,7 +19,7 @@
     // How long requests stay.
     Microseconds hold { 0 };
     // What the upstream takes while it is cold, and whether it is known to be.
-    ColdBound coldBound {};
+    ColdStartLimit coldBound {};
     bool isCold { false };
     // Whether what upstreams of the service usually get fits into the bound: then it can be
     // kept as well while nobody knows yet that the upstream has become cold.
@@ -90,7 +90,7 @@
         // Where the upstream may be cold.
         SendWindow sends;
         // What an asker knew before this daemon did.
-        ColdBound toldBound;
+        ColdStartLimit toldBound;
         Instant toldColdUntil;
         // Which contexts went there.
         RecentMap<uint64_t, bool> contexts { mostContextsKnown };
@@ -102,8 +102,8 @@
     Account& account(UpstreamId, Instant now);
     static size_t believed(UpstreamForecast const&, Account const&, bool isFirstOwner, Instant now);
     void noteSends(UpstreamId, Account&, size_t sends, Instant now);
-    static size_t partOf(OwnerRank, ColdBound const&);
-    static void noteCold(Account&, ColdNotice const&, Instant now);
+    static size_t partOf(OwnerRank, ColdStartLimit const&);
+    static void noteCold(Account&, ColdStartNotice const&, Instant now);
     static size_t sum(Account const&);
 
     Forecast m_forecast;
--- a/Libraries/LibRouting/LeaseServer.cpp
+++ b/Libraries/LibRouting/LeaseServer.cpp
@@ -66,7 +66,7 @@
     auto& owned = found->second;
     auto const weight = m_hooks.weightOf(request.organisation);
     m_hooks.send(from, owned.owner.requestLease(request, from, weight, m_loads.mean(owned.pool, now), now));
-    m_loads.rideAlong(owned.pool, from, now);
+    m_loads.piggyback(owned.pool, from, now);
 }
 
 LeaseServer::Owned* LeaseServer::findByLease(LeaseId lease)
--- a/Libraries/LibRouting/LedgerExchange.h
+++ b/Libraries/LibRouting/LedgerExchange.h
@@ -4,7 +4,7 @@
 #include <LibBase/TokenBucket.h>
 #include <LibRouting/InFlightLedger.h>
 #include <LibRouting/LedgerMessage.h>
-#include <LibRouting/SilenceWatch.h>
+#include <LibRouting/SilenceDetector.h>
 #include <deque>
 #include <functional>
 #include <optional>
@@ -49,7 +49,7 @@
         HallId hall;
         // It is granted while the upstream holds fewer than these.
         size_t limit { 1 };
-        std::optional<ColdNotice> cold {};
+        std::optional<ColdStartNotice> cold {};
         // What it may hold although no other has room; none where that is not bounded.
         std::optional<size_t> most {};
     };
--- a/Libraries/LibRouting/LedgerMessage.cpp
+++ b/Libraries/LibRouting/LedgerMessage.cpp
@@ -24,17 +24,17 @@
     // Of a rate, what is told: thousandths of a request a second.
     constexpr double rateUnit = 1000;
 
-    void write(MessageWriter& writer, ColdNotice const& notice)
+    void write(MessageWriter& writer, ColdStartNotice const& notice)
     {
         writer.number(static_cast<uint64_t>(notice.bound.perSecond * rateUnit));
-        writer.number(notice.bound.most());
+        writer.number(notice.bound.fleetLimit());
         writer.duration(notice.left);
     }
 
     // The bound as a sum: how it came about does not matter to the owner.
-    ColdNotice readColdNotice(MessageReader& reader)
+    ColdStartNotice readColdStartNotice(MessageReader& reader)
     {
-        ColdNotice notice;
+        ColdStartNotice notice;
         notice.bound.perSecond = static_cast<double>(reader.number()) / rateUnit;
         auto const most = static_cast<double>(reader.number());
         notice.bound.slack = std::max(0.0, most - notice.bound.perSecond);
@@ -80,7 +80,7 @@
         if (hasContext)
             ask.context = reader.number();
         if (!reader.finished())
-            ask.cold = readColdNotice(reader);
+            ask.cold = readColdStartNotice(reader);
         return ask;
     }
 
--- a/Libraries/LibRouting/LedgerMessage.h
+++ b/Libraries/LibRouting/LedgerMessage.h
@@ -2,7 +2,7 @@
 
 #include <LibBase/Ids.h>
 #include <LibBase/Result.h>
-#include <LibRouting/ColdBound.h>
+#include <LibRouting/ColdStartLimit.h>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -22,7 +22,7 @@
     uint64_t limit { 0 };
     // The asker knows that the upstream is cold; the owner may not know yet. Daemons of
     // earlier versions do not understand such an ask, and it is as if they were gone.
-    std::optional<ColdNotice> cold {};
+    std::optional<ColdStartNotice> cold {};
     // The context that goes there, where the request has one. Daemons of earlier versions do not
     // understand such an ask either.
     std::optional<uint64_t> context {};
--- a/Libraries/LibRouting/RequestAttempts.cpp
+++ b/Libraries/LibRouting/RequestAttempts.cpp
@@ -53,7 +53,7 @@
 }
 
 // The last attempt gets all the remaining time.
-AttemptTimeouts RequestAttempts::timeouts(size_t upstreams, UsualWaits const& usual, Instant now) const
+AttemptTimeouts RequestAttempts::timeouts(size_t upstreams, WaitBounds const& usual, Instant now) const
 {
     AttemptTimeouts result;
     result.connect = std::clamp<Milliseconds>(m_limits.objective / connectTimeoutDivisor, minConnectTimeout, maxConnectTimeout);
@@ -74,7 +74,7 @@
 
 bool RequestAttempts::needsFreshConnection(ServicePlacement::Choice const& choice) const
 {
-    return choice.isInDoubt || (!m_limits.isRepeatable && !m_limits.isStream);
+    return choice.needsNewConnection || (!m_limits.isRepeatable && !m_limits.isStream);
 }
 
 void RequestAttempts::recordSend()
--- a/Libraries/LibRouting/RequestAttempts.h
+++ b/Libraries/LibRouting/RequestAttempts.h
@@ -68,7 +68,7 @@
     // alternative, waiting longer costs nothing.
     bool couldSendAgain(size_t upstreams, Instant now) const;
     // Returns the timeouts of the current attempt.
-    AttemptTimeouts timeouts(size_t upstreams, UsualWaits const&, Instant now) const;
+    AttemptTimeouts timeouts(size_t upstreams, WaitBounds const&, Instant now) const;
     // Whether the request must use a new connection. A reused one may already be closed or
     // broken, which would leave it unclear whether the request was executed.
     bool needsFreshConnection(ServicePlacement::Choice const&) const;
--- a/Libraries/LibRouting/UpstreamOwner.cpp
+++ b/Libraries/LibRouting/UpstreamOwner.cpp
@@ -189,7 +189,7 @@
     if (release.outcome == LeaseOutcome::Failed)
         m_breaker.failed(now);
     else if (release.outcome == LeaseOutcome::Unused)
-        m_breaker.trialReturned();
+        m_breaker.cancelTrial();
     else if (m_breaker.succeeded())
         m_rampStart = now;
     if (release.outcome == LeaseOutcome::Unused)
--- a/Services/stagepostd/Gateway.cpp
+++ b/Services/stagepostd/Gateway.cpp
@@ -237,7 +237,7 @@
 void Gateway::applyColdBounds()
 {
     for (auto const& service : m_table->services())
-        m_board.service(service.name).placement.setColdBound({ service.coldPerSecond, m_options.coldOvershoot, m_options.coldSlack, service.coldDuration });
+        m_board.service(service.name).placement.setColdStartLimit({ service.coldPerSecond, m_options.coldOvershoot, m_options.coldSlack, service.coldDuration });
 }
 
 // An answer that was long on its way may be older than what other daemons have
@@ -400,7 +400,7 @@
     for (auto const& [upstream, count] : list)
         counts[upstream] = count;
     for (auto const& [name, service] : m_board.services())
-        service->placement.othersCounted(counts, age, m_loop.now());
+        service->placement.updateOthersInFlight(counts, age, m_loop.now());
 }
 
 Result<void> Gateway::join(GatewayPeer const& self, std::string const& key, Incarnation incarnation)
@@ -419,7 +419,7 @@
 void Gateway::noteAbsence(Microseconds stoodStill)
 {
     if (stoodStill > Microseconds(0))
-        m_board.silence().stoodStill(stoodStill);
+        m_board.silence().excludePause(stoodStill);
 }
 
 bool Gateway::awaitsProof() const
@@ -463,10 +463,10 @@
     for (auto const& [name, service] : m_board.services()) {
         auto const label = "{service=\"" + name + "\"}";
         auto const occupancy = service->placement.occupancy();
-        m_metrics.setGauge("stagepost_requests_per_place" + label, occupancy.perPlace);
+        m_metrics.setGauge("stagepost_requests_per_place" + label, occupancy.perSlot);
         m_metrics.setGauge("stagepost_turned_away_share" + label, AdmissionGate::refusedShare(occupancy, 0));
         m_metrics.setGauge("stagepost_cold_upstreams" + label, static_cast<double>(service->placement.coldCount(m_loop.now())));
-        m_metrics.setGauge("stagepost_resting_upstreams" + label, static_cast<double>(service->placement.restingCount(m_loop.now())));
+        m_metrics.setGauge("stagepost_resting_upstreams" + label, static_cast<double>(service->placement.backingOffCount(m_loop.now())));
         m_metrics.setGauge("stagepost_counts_age_seconds" + label, asSeconds(service->placement.countsAge()));
     }
 }
--- a/Services/stagepostd/GatewayFlow.cpp
+++ b/Services/stagepostd/GatewayFlow.cpp
@@ -69,7 +69,7 @@
     if (m_service.gate.admits(occupancy, m_request.priority))
         place();
     else
-        refuse({ RefusalReason::QueueFull, Verdict::NotRun, "the service has fewer places than requests", m_service.gate.timeToComeBack(occupancy) });
+        refuse({ RefusalReason::QueueFull, Verdict::NotRun, "the service has fewer places than requests", m_service.gate.retryDelay(occupancy) });
 }
 
 void GatewayFlow::place()
@@ -83,13 +83,13 @@
         placeWithoutOwners(wish);
 }
 
-bool GatewayFlow::needsOwner(ServicePlacement::Wish const& wish) const
+bool GatewayFlow::needsOwner(ServicePlacement::Request const& wish) const
 {
     return wish.context || m_service.placement.hasCold(m_services.loop.now());
 }
 
 // Owners count what has a context; the others are counted only where one was asked.
-void GatewayFlow::placeWithoutOwners(ServicePlacement::Wish const& wish)
+void GatewayFlow::placeWithoutOwners(ServicePlacement::Request const& wish)
 {
     if (m_request.route->keepsContext)
         placeByOwnCounts(wish);
@@ -119,9 +119,9 @@
     return true;
 }
 
-ServicePlacement::Wish GatewayFlow::wish() const
+ServicePlacement::Request GatewayFlow::wish() const
 {
-    ServicePlacement::Wish wish;
+    ServicePlacement::Request wish;
     if (m_request.route->keepsContext)
         wish.context = m_request.call.prompt.sharedKey();
     wish.excluded = m_attempts.failedUpstreams();
@@ -132,7 +132,7 @@
 
 // Counts that daemons tell one another are older than many requests: a whole fleet that goes
 // by them fills one upstream and then leaves it empty.
-void GatewayFlow::askOwners(ServicePlacement::Wish const& wish)
+void GatewayFlow::askOwners(ServicePlacement::Request const& wish)
 {
     auto candidates = m_service.placement.candidatesForOwners(wish, m_services.loop.now());
     if (candidates.empty()) {
@@ -150,7 +150,7 @@
     if (isOverMeanwhile())
         return;
     auto wish = this->wish();
-    auto const choice = m_service.placement.chosenByOwners(wish, outcome, m_services.loop.now());
+    auto const choice = m_service.placement.choiceFromOwners(wish, outcome, m_services.loop.now());
     if (choice && outcome.isNewThere && wish.context) {
         findHolders(*wish.context, *choice);
         return;
@@ -180,7 +180,7 @@
 {
     if (isOverMeanwhile())
         return;
-    auto const source = m_service.placement.sourceAmong(holders, choice.upstream, m_services.loop.now());
+    auto const source = m_service.placement.firstUsableSource(holders, choice.upstream, m_services.loop.now());
     if (source)
         choice.contextSource = source;
     send(choice);
@@ -209,7 +209,7 @@
 }
 
 // No owner can be reached, or the upstream has gone since: by what this daemon knows itself.
-void GatewayFlow::placeByOwnCounts(ServicePlacement::Wish const& wish)
+void GatewayFlow::placeByOwnCounts(ServicePlacement::Request const& wish)
 {
     auto const choice = m_service.placement.choose(wish, m_services.loop.now());
     auto const* target = choice ? m_services.board.target(choice->upstream) : nullptr;
@@ -231,15 +231,15 @@
 
 Refusal GatewayFlow::fullByBound() const
 {
-    auto const pause = m_service.gate.timeToComeBack(m_service.placement.occupancy());
+    auto const pause = m_service.gate.retryDelay(m_service.placement.occupancy());
     return { RefusalReason::QueueFull, m_attempts.verdict(), "the few upstreams that take requests hold what the load multiple allows", pause };
 }
 
 Refusal GatewayFlow::noUpstream() const
 {
     if (m_service.placement.hasCold(m_services.loop.now()))
-        return { RefusalReason::QueueFull, m_attempts.verdict(), "the upstreams that are left have just started and take no more by now", std::chrono::duration_cast<Milliseconds>(coldWindow) };
-    if (m_service.placement.restingCount(m_services.loop.now()))
+        return { RefusalReason::QueueFull, m_attempts.verdict(), "the upstreams that are left have just started and take no more by now", std::chrono::duration_cast<Milliseconds>(coldStartWindow) };
+    if (m_service.placement.backingOffCount(m_services.loop.now()))
         return { RefusalReason::QueueFull, m_attempts.verdict(), "the upstreams that are left want rest", m_attempts.retryAfter() };
     return { RefusalReason::NoUpstream, m_attempts.verdict(), "no upstream of the service is known", m_attempts.retryAfter() };
 }
@@ -269,7 +269,7 @@
 
 ForwardPlan GatewayFlow::planFor(ServicePlacement::Choice const& choice, ServiceBoard::Target const& target, Instant now)
 {
-    auto const patience = m_attempts.timeouts(sizeForRetry(now), m_service.placement.usualWaits(m_request.call.prompt.tokens()), now);
+    auto const patience = m_attempts.timeouts(sizeForRetry(now), m_service.placement.waitBounds(m_request.call.prompt.tokens()), now);
     auto const* service = m_request.table->service(m_request.service);
     ForwardPlan plan;
     plan.upstream = target.endpoint;
@@ -310,7 +310,7 @@
     };
     m_instance = target.instance;
     m_placement = choice.reason;
-    m_restLeft = m_service.placement.restLeft(upstream, now);
+    m_restLeft = m_service.placement.remainingBackoff(upstream, now);
     m_sentAt = now;
     m_heardAt = now;
     m_service.placement.started(upstream);
@@ -329,10 +329,10 @@
         silence.connected(upstream, now);
         break;
     case UpstreamSign::AnswerBegan:
-        silence.answerBegan(upstream, now - m_heardAt, now);
+        silence.answerStarted(upstream, now - m_heardAt, now);
         break;
     case UpstreamSign::AnswerWentOn:
-        silence.answerWentOn(upstream, now - m_heardAt, now);
+        silence.answerContinued(upstream, now - m_heardAt, now);
         break;
     }
     m_heardAt = now;
@@ -376,7 +376,7 @@
 
 void GatewayFlow::noteRest(UpstreamId upstream, Milliseconds duration)
 {
-    m_service.placement.askedForRest(upstream, duration, m_services.loop.now());
+    m_service.placement.backoffRequested(upstream, duration, m_services.loop.now());
     m_services.metrics.count("stagepost_upstream_rests_total", "service=\"" + m_request.service + '"');
     logEvent(LogLevel::Info, "upstream-rests", { { "instance", m_instance }, { "service", m_request.service }, { "id", m_request.call.id }, { "rest_ms", duration.count() } });
 }
@@ -392,11 +392,11 @@
         if (result.failure == RefusalReason::OverCapacity)
             return SendOutcome::Refused;
         if (isUnconnected(result))
-            return SendOutcome::Unreachable;
-        return result.verdict == Verdict::Ran ? SendOutcome::Failed : SendOutcome::Broke;
+            return SendOutcome::ConnectFailed;
+        return result.verdict == Verdict::Ran ? SendOutcome::Failed : SendOutcome::NoUsableAnswer;
     }();
-    if (outcome == SendOutcome::Unreachable)
-        m_services.board.silence().unreached(upstream);
+    if (outcome == SendOutcome::ConnectFailed)
+        m_services.board.silence().connectFailed(upstream);
     // The time to the head tells of the upstream; a stream's whole time tells of
     // the answer's length.
     m_service.placement.finished(upstream, outcome, result.firstByteAfter, now - m_sentAt, now);
@@ -415,7 +415,7 @@
 {
     noteOutcome(upstream, result);
     if (!result.failure) {
-        m_service.placement.began(m_request.call.prompt.tokens(), result.firstByteAfter);
+        m_service.placement.recordFirstByteWait(m_request.call.prompt.tokens(), result.firstByteAfter);
         m_attempts.recordResponse();
         if (m_services.crashes.hasSuspects() && result.status < firstServerError)
             m_services.crashes.answered(fingerprint());
--- a/Services/stagepostd/GatewayFlow.h
+++ b/Services/stagepostd/GatewayFlow.h
@@ -59,17 +59,17 @@
     void place();
     // Whether nothing has come in the way of a send.
     bool maySend();
-    ServicePlacement::Wish wish() const;
-    bool needsOwner(ServicePlacement::Wish const&) const;
-    void askOwners(ServicePlacement::Wish const&);
+    ServicePlacement::Request wish() const;
+    bool needsOwner(ServicePlacement::Request const&) const;
+    void askOwners(ServicePlacement::Request const&);
     void takeOwnersWord(LedgerExchange::Outcome const&);
     void findHolders(uint64_t context, ServicePlacement::Choice const&);
     void sendFromHolders(ServicePlacement::Choice, std::vector<UpstreamId> const& holders);
     bool isOverMeanwhile();
     // It has ended, or was not sent after all.
     void noteNotInFlight();
-    void placeWithoutOwners(ServicePlacement::Wish const&);
-    void placeByOwnCounts(ServicePlacement::Wish const&);
+    void placeWithoutOwners(ServicePlacement::Request const&);
+    void placeByOwnCounts(ServicePlacement::Request const&);
     Refusal noUpstream() const;
     Refusal fullByBound() const;
     void send(std::optional<ServicePlacement::Choice> const&);
--- a/Services/stagepostd/ServiceBoard.cpp
+++ b/Services/stagepostd/ServiceBoard.cpp
@@ -56,7 +56,7 @@
 void ServiceBoard::noteColdRecord(UpstreamRecord const& record, Instant now)
 {
     auto const until = record.coldLeft.count() ? std::optional(now + record.coldLeft) : std::nullopt;
-    service(record.service).placement.noteCold(record.id(), until);
+    service(record.service).placement.setColdUntil(record.id(), until);
     if (until)
         logEvent(LogLevel::Info, "upstream-cold", { { "instance", record.instance }, { "left_ms", record.coldLeft.count() } });
 }
@@ -64,7 +64,7 @@
 void ServiceBoard::noteCold(UpstreamId id, Milliseconds left, Instant now)
 {
     if (auto const* target = this->target(id); target && left.count())
-        service(target->service).placement.noteCold(id, now + left);
+        service(target->service).placement.setColdUntil(id, now + left);
 }
 
 void ServiceBoard::noteLeaving(UpstreamId id, Instant now)
@@ -94,7 +94,7 @@
             continue;
         place(id, target);
         if (!isEmptied)
-            service(target.service).placement.noteStarted(id, now);
+            service(target.service).placement.markStarted(id, now);
     }
 }
 
@@ -118,7 +118,7 @@
     auto const target = m_targets.extract(known->second);
     m_ids.erase(known);
     service(target.mapped().service).placement.removeUpstream(target.key());
-    m_silence.forget(target.key());
+    m_silence.remove(target.key());
     m_dropped(target.mapped().endpoint);
 }
 
--- a/Services/stagepostd/ServiceBoard.h
+++ b/Services/stagepostd/ServiceBoard.h
@@ -71,7 +71,7 @@
     // The start of the upstream that is a target now.
     std::optional<UpstreamId> idOf(std::string const& instance) const;
     // Which upstreams and halls have fallen silent.
-    SilenceWatch& silence() { return m_silence; }
+    SilenceDetector& silence() { return m_silence; }
     std::map<std::string, std::unique_ptr<Entry>> const& services() const { return m_services; }
     size_t upstreamCount() const { return m_targets.size(); }
 
@@ -85,7 +85,7 @@
     RandomHook m_random;
     Dropped m_dropped;
     double m_retryShare { 0 };
-    SilenceWatch m_silence;
+    SilenceDetector m_silence;
     std::map<std::string, std::unique_ptr<Entry>> m_services;
     std::map<UpstreamId, Target> m_targets;
     std::set<HallId> m_emptiedHalls;
--- a/Tests/LibRouting/TestLedgerExchange.cpp
+++ b/Tests/LibRouting/TestLedgerExchange.cpp
@@ -126,7 +126,7 @@
     std::map<size_t, Microseconds> slow;
     std::optional<size_t> most;
     double forecast { 0 };
-    ColdBound coldBound;
+    ColdStartLimit coldBound;
     bool isCold { false };
     bool hasRoomForCaution { false };
 
@@ -417,7 +417,7 @@
 namespace {
 
 // What the users' sheet says of one deployment.
-ColdBound const someBound { 8.9, 1.5, 5, Seconds(3) };
+ColdStartLimit const someBound { 8.9, 1.5, 5, Seconds(3) };
 // How long a request takes at the most from its grant to its upstream.
 constexpr Microseconds longestWay { 250000 };
 
@@ -487,14 +487,14 @@
 
 BOOST_AUTO_TEST_CASE(WhatDaemonsAllowAColdUpstreamFitsIntoItsBound)
 {
-    BOOST_TEST(someBound.most() == 18u);
-    BOOST_TEST(someBound.forOwner() + 3 * someBound.forNextOwner() <= someBound.most());
-    BOOST_TEST(someBound.forNextOwner() > 0u);
+    BOOST_TEST(someBound.fleetLimit() == 18u);
+    BOOST_TEST(someBound.ownerLimit() + 3 * someBound.nextOwnerLimit() <= someBound.fleetLimit());
+    BOOST_TEST(someBound.nextOwnerLimit() > 0u);
     for (double perSecond : { 0.2, 1.0, 3.7, 50.0 }) {
         for (double slack : { 0.0, 1.0, 40.0 }) {
-            ColdBound const bound { perSecond, 1, slack, Seconds(1) };
-            BOOST_TEST(bound.forOwner() + 3 * bound.forNextOwner() <= bound.most());
-            BOOST_TEST(bound.forCaution() <= bound.most());
+            ColdStartLimit const bound { perSecond, 1, slack, Seconds(1) };
+            BOOST_TEST(bound.ownerLimit() + 3 * bound.nextOwnerLimit() <= bound.fleetLimit());
+            BOOST_TEST(bound.unconfirmedLimit() <= bound.fleetLimit());
         }
     }
 }
@@ -506,8 +506,8 @@
     fleet.run(Seconds(4));
     ColdUpstream cold;
     cold.ask(fleet, numbers(1, 70), Seconds(8));
-    BOOST_TEST_MESSAGE("most in a second " << cold.mostInASecond() << " of " << someBound.most() << ", " << cold.arrivals() << " in eight seconds");
-    BOOST_TEST(cold.mostInASecond() <= someBound.most());
+    BOOST_TEST_MESSAGE("most in a second " << cold.mostInASecond() << " of " << someBound.fleetLimit() << ", " << cold.arrivals() << " in eight seconds");
+    BOOST_TEST(cold.mostInASecond() <= someBound.fleetLimit());
     BOOST_TEST(static_cast<double>(cold.arrivals()) >= 8 * 0.9 * someBound.perSecond);
 }
 
@@ -523,7 +523,7 @@
     cold.ask(fleet, numbers(1, 8), Seconds(3), { upstream, other, UpstreamId(79) }, Milliseconds(250));
     fleet.isCold = true;
     cold.ask(fleet, numbers(1, 70), Seconds(3));
-    BOOST_TEST(cold.mostInASecond() <= someBound.most());
+    BOOST_TEST(cold.mostInASecond() <= someBound.fleetLimit());
 }
 
 BOOST_AUTO_TEST_CASE(AColdUpstreamKeepsItsBoundWhereOwnersAreSilentAndChange)
@@ -543,7 +543,7 @@
         fleet.remove(owner);
         cold.ask(fleet, others, Seconds(6));
         BOOST_TEST_MESSAGE(lossPercent << " in 100 lost: most in a second " << cold.mostInASecond() << ", " << cold.arrivals() << " in ten seconds");
-        BOOST_TEST(cold.mostInASecond() <= someBound.most());
+        BOOST_TEST(cold.mostInASecond() <= someBound.fleetLimit());
         BOOST_TEST(cold.arrivals() > 20u);
     }
 }
@@ -565,7 +565,7 @@
     ColdUpstream cold;
     // As long as daemons' views may differ.
     cold.ask(fleet, others, Milliseconds(2900));
-    BOOST_TEST(cold.mostInASecond() <= someBound.most());
+    BOOST_TEST(cold.mostInASecond() <= someBound.fleetLimit());
 }
 
 // One that is cold and has its part takes nothing for being the least loaded.
@@ -576,7 +576,7 @@
     size_t granted = 0;
     while (granted < 100 && fleet.choose(2, 1000).outcome.isGranted)
         ++granted;
-    BOOST_TEST(granted == someBound.forOwner());
+    BOOST_TEST(granted == someBound.ownerLimit());
     BOOST_TEST(!fleet.choose(2, 1000).outcome.upstream.has_value());
 }
 
@@ -585,27 +585,27 @@
 {
     Fleet fleet(20);
     fleet.run(Seconds(4));
-    ColdNotice const notice { someBound, Seconds(2) };
+    ColdStartNotice const notice { someBound, Seconds(2) };
     size_t granted = 0;
     for (size_t ask = 0; ask < 40; ++ask) {
         fleet.daemon(1 + ask % 20).choose(
             { { upstream, north, 1000, notice } }, [&](auto const& outcome) { granted += outcome.upstream ? 1 : 0; }, fleet.now);
         fleet.run(Milliseconds(5));
     }
-    BOOST_TEST(granted == someBound.forOwner());
+    BOOST_TEST(granted == someBound.ownerLimit());
     fleet.run(Seconds(3));
     BOOST_TEST(fleet.choose(3, 1000).outcome.isGranted);
 }
 
 BOOST_AUTO_TEST_CASE(AnAskTellsHowColdAnUpstreamIs)
 {
-    LedgerAsk const ask { 7, upstream, 2, 9, ColdNotice { someBound, Milliseconds(1500) } };
+    LedgerAsk const ask { 7, upstream, 2, 9, ColdStartNotice { someBound, Milliseconds(1500) } };
     auto const read = decodeLedgerMessage(encodeLedgerMessage(ask));
     BOOST_REQUIRE(read);
     auto const& cold = std::get<LedgerAsk>(*read).cold;
     BOOST_REQUIRE(cold.has_value());
-    BOOST_TEST(cold->bound.most() == someBound.most());
-    BOOST_TEST(cold->bound.forOwner() == someBound.forOwner());
+    BOOST_TEST(cold->bound.fleetLimit() == someBound.fleetLimit());
+    BOOST_TEST(cold->bound.ownerLimit() == someBound.ownerLimit());
     BOOST_TEST((cold->left == Milliseconds(1500)));
 }
 
--- a/Tests/LoadPatterns/StreamFleet.cpp
+++ b/Tests/LoadPatterns/StreamFleet.cpp
@@ -96,7 +96,7 @@
     daemon.placement = std::make_unique<ServicePlacement>(m_bounds, m_silence, hook);
     daemon.gate = std::make_unique<AdmissionGate>(hook);
     daemon.inFlight.clear();
-    daemon.placement->setColdBound(m_pattern.coldBound);
+    daemon.placement->setColdStartLimit(m_pattern.coldBound);
     for (size_t engine = 0; engine < m_engines.size(); ++engine)
         daemon.placement->putUpstream({ UpstreamId(engine + 1), false, m_pattern.places, false, HallId(1) });
     if (m_pattern.asksOwners)
@@ -134,7 +134,7 @@
 {
     for (auto& daemon : m_daemons) {
         for (size_t engine = 0; engine < m_pattern.absence->upstreams; ++engine)
-            daemon.placement->noteCold(UpstreamId(engine + 1), at(m_engines[engine].coldUntil));
+            daemon.placement->setColdUntil(UpstreamId(engine + 1), at(m_engines[engine].coldUntil));
     }
 }
 
@@ -226,7 +226,7 @@
         auto const first = phase(m_random);
         // The daemons are there before their traffic begins, and know how old counts are.
         for (int before = m_pattern.runsBeforeTraffic ? countsBeforeTraffic : 0; before > 0; --before)
-            m_daemons[daemon].placement->othersCounted({}, m_pattern.countsAge, at(first - before * interval));
+            m_daemons[daemon].placement->updateOthersInFlight({}, m_pattern.countsAge, at(first - before * interval));
         m_events.push({ first, Event::Kind::Counts, daemon, 0 });
     }
     m_events.push({ 0, Event::Kind::Sample, 0, 0 });
@@ -372,7 +372,7 @@
 
 void StreamFleet::place(double now, StreamKind const& kind, uint64_t context)
 {
-    ServicePlacement::Wish wish;
+    ServicePlacement::Request wish;
     wish.context = context;
     auto const number = m_random() % m_daemons.size();
     auto& daemon = m_daemons[number];
@@ -390,14 +390,14 @@
 
 void StreamFleet::askOwners(double now, size_t daemon, StreamKind const& kind, uint64_t context)
 {
-    ServicePlacement::Wish wish;
+    ServicePlacement::Request wish;
     wish.context = context;
     wish.priority = kind.priority;
     auto candidates = m_daemons[daemon].placement->candidatesForOwners(wish, at(now));
     m_daemons[daemon].ledger->choose(
         { wish.context, std::move(candidates) }, [this, daemon, wish, &kind](LedgerExchange::Outcome const& outcome) mutable {
             auto& placement = *m_daemons[daemon].placement;
-            auto choice = placement.chosenByOwners(wish, outcome, at(m_now));
+            auto choice = placement.choiceFromOwners(wish, outcome, at(m_now));
             if (outcome.isFull) {
                 ++m_outcome.seconds[static_cast<size_t>(m_now)].refused;
                 return;
@@ -425,7 +425,7 @@
     holders.placed(
         context, chosen.upstream, [this, daemon, chosen, &kind, context](auto const& known) {
             auto choice = chosen;
-            if (auto const source = m_daemons[daemon].placement->sourceAmong(known, choice.upstream, at(m_now)))
+            if (auto const source = m_daemons[daemon].placement->firstUsableSource(known, choice.upstream, at(m_now)))
                 choice.contextSource = source;
             sendTo(m_now, daemon, kind, context, choice);
         },
@@ -527,7 +527,7 @@
         if (auto const others = all - std::min(all, daemon.inFlight[upstream]))
             counts[UpstreamId(upstream + 1)] = others;
     }
-    daemon.placement->othersCounted(counts, m_pattern.countsAge, at(event.at));
+    daemon.placement->updateOthersInFlight(counts, m_pattern.countsAge, at(event.at));
 }
 
 }
--- a/Tests/LoadPatterns/StreamFleet.h
+++ b/Tests/LoadPatterns/StreamFleet.h
@@ -87,7 +87,7 @@
     unsigned lostMessages { 0 };
     std::optional<Absence> absence;
     // What upstreams take while they are cold.
-    ColdBound coldBound {};
+    ColdStartLimit coldBound {};
     // All daemons are killed and start again; what was in flight is broken off.
     std::optional<double> restartAt;
     // Lets everybody in, as a policy to compare with.
@@ -240,7 +240,7 @@
 
     StreamPattern m_pattern;
     std::mt19937_64 m_random;
-    SilenceWatch m_silence;
+    SilenceDetector m_silence;
     std::vector<Daemon> m_daemons;
     std::vector<Engine> m_engines;
     std::map<uint64_t, Message> m_messages;
--- a/Tests/LoadPatterns/TestOrders.cpp
+++ b/Tests/LoadPatterns/TestOrders.cpp
@@ -32,8 +32,8 @@
 {
     for (uint64_t seed = 1; seed <= 4; ++seed) {
         auto const outcome = StreamFleet(pattern, {}, seed).play();
-        BOOST_TEST_MESSAGE(name << ", seed " << seed << ": " << outcome.mostInAColdSecond << " in a cold second, " << pattern.coldBound.most() << " allowed, " << outcome.unplaced << " not placed, in time from second 8 " << outcome.inTimeShare(8, 16) << ", reused " << outcome.reusedShare(8));
-        BOOST_TEST(outcome.mostInAColdSecond <= pattern.coldBound.most());
+        BOOST_TEST_MESSAGE(name << ", seed " << seed << ": " << outcome.mostInAColdSecond << " in a cold second, " << pattern.coldBound.fleetLimit() << " allowed, " << outcome.unplaced << " not placed, in time from second 8 " << outcome.inTimeShare(8, 16) << ", reused " << outcome.reusedShare(8));
+        BOOST_TEST(outcome.mostInAColdSecond <= pattern.coldBound.fleetLimit());
         BOOST_TEST(outcome.unplaced == 0u);
         BOOST_TEST(outcome.inTimeShare(8, 16) > 0.95);
     }
--- a/Tests/platform/TestServiceBoard.cpp
+++ b/Tests/platform/TestServiceBoard.cpp
@@ -15,7 +15,7 @@
 
     std::optional<ServicePlacement::Choice> choose(std::vector<UpstreamId> excluded = {})
     {
-        ServicePlacement::Wish wish;
+        ServicePlacement::Request wish;
         wish.excluded = std::move(excluded);
         return board.service("book").placement.choose(wish, now);
     }
@@ -25,7 +25,7 @@
         auto& placement = board.service("book").placement;
         for (size_t count = 0; count < times; ++count) {
             placement.started(id);
-            placement.finished(id, SendOutcome::Broke, Milliseconds(1), Milliseconds(1), now);
+            placement.finished(id, SendOutcome::NoUsableAnswer, Milliseconds(1), Milliseconds(1), now);
         }
     }
 
@@ -84,17 +84,17 @@
 {
     World world;
     auto& placement = world.board.service("book").placement;
-    placement.setColdBound({ 9, 1.5, 5, Seconds(3) });
+    placement.setColdStartLimit({ 9, 1.5, 5, Seconds(3) });
     auto cold = upstream("a", 5);
     cold.coldLeft = Milliseconds(2000);
     world.put(cold);
     BOOST_TEST(!world.choose().has_value());
-    ServicePlacement::Wish wish;
+    ServicePlacement::Request wish;
     auto const candidates = placement.candidatesForOwners(wish, world.now);
     BOOST_REQUIRE(candidates.size() == 1u);
     BOOST_REQUIRE(candidates.front().cold.has_value());
     BOOST_TEST((candidates.front().cold->left == Milliseconds(2000)));
-    BOOST_TEST(placement.chosenByOwners(wish, { cold.id(), true, 1 }, world.now).has_value());
+    BOOST_TEST(placement.choiceFromOwners(wish, { cold.id(), true, 1 }, world.now).has_value());
     world.now += Seconds(3);
     BOOST_TEST(world.choose().has_value());
 }
@@ -106,10 +106,10 @@
     auto const only = upstream("a", 5);
     auto cold = upstream("b", 6);
     cold.coldLeft = Milliseconds(2000);
-    world.board.service("book").placement.setColdBound({ 9, 1.5, 5, Seconds(3) });
+    world.board.service("book").placement.setColdStartLimit({ 9, 1.5, 5, Seconds(3) });
     world.put(only);
     world.put(cold);
-    ServicePlacement::Wish wish;
+    ServicePlacement::Request wish;
     wish.avoided = { only.id(), cold.id() };
     auto const choice = world.board.service("book").placement.choose(wish, world.now);
     BOOST_REQUIRE(choice.has_value());
@@ -119,7 +119,7 @@
 BOOST_AUTO_TEST_CASE(AnUpstreamIsWarmWhenItsRecordSaysSo)
 {
     World world;
-    world.board.service("book").placement.setColdBound({ 9, 1.5, 5, Seconds(3) });
+    world.board.service("book").placement.setColdStartLimit({ 9, 1.5, 5, Seconds(3) });
     auto cold = upstream("a", 5);
     cold.coldLeft = Milliseconds(2000);
     world.put(cold);
@@ -132,7 +132,7 @@
 BOOST_AUTO_TEST_CASE(AHallThatIsTakenBackCountsAsJustStarted)
 {
     World world;
-    world.board.service("book").placement.setColdBound({ 9, 1.5, 5, Seconds(3) });
+    world.board.service("book").placement.setColdStartLimit({ 9, 1.5, 5, Seconds(3) });
     world.put(upstream("a", 5));
     world.board.setEmptied(HallId::fromName("north"), true, world.now);
     world.board.setEmptied(HallId::fromName("north"), false, world.now);
@@ -147,12 +147,12 @@
     World world;
     world.put(upstream("a", 5));
     auto& placement = world.board.service("book").placement;
-    ServicePlacement::Wish wish;
+    ServicePlacement::Request wish;
     wish.context = 7;
     LedgerExchange::Outcome const granted { upstream("a", 5).id(), true, 1 };
-    BOOST_TEST(placement.chosenByOwners(wish, granted, world.now).has_value());
+    BOOST_TEST(placement.choiceFromOwners(wish, granted, world.now).has_value());
     world.board.setEmptied(HallId::fromName("north"), true, world.now);
-    BOOST_TEST(!placement.chosenByOwners(wish, granted, world.now).has_value());
+    BOOST_TEST(!placement.choiceFromOwners(wish, granted, world.now).has_value());
 }
 
 // What the process before did and held says nothing of the one that has its name now:
@@ -176,7 +176,7 @@
     BOOST_TEST(!world.board.silence().isSilent(second.id(), world.now + Seconds(5)));
     auto const chosen = world.choose();
     BOOST_REQUIRE(chosen);
-    BOOST_TEST((chosen->upstream == second.id() && !chosen->isInDoubt));
+    BOOST_TEST((chosen->upstream == second.id() && !chosen->needsNewConnection));
     // A late end of a request to the one before changes nothing at this one.
     world.fail(first.id(), 5);
     BOOST_TEST((world.choose()->upstream == second.id()));
