--- a/Tests/platform/TestPlatformReaders.cpp
+++ b/Tests/platform/TestPlatformReaders.cpp
@@ -76,9 +76,9 @@
         bool isFirst = true;
         Timer reads(loop);
         reads.every(Milliseconds(20), [&] {
-            reading.takeHallOrders({}, isFirst, loop.now(), 1, false);
-            reading.takeSettings(settings.dump(), loop.now());
-            reading.takeUpstreams({ { "i-1", record } }, isFirst, loop.now());
+            reading.updateHallOrders({}, isFirst, loop.now(), 1, false);
+            reading.updateSettings(settings.dump(), loop.now());
+            reading.updateUpstreams({ { "i-1", record } }, isFirst, loop.now());
             isFirst = false;
             if (isDone())
                 loop.stop();
@@ -317,7 +317,7 @@
 {
     TwoGateways world;
     world.reading.setPeers({ world.second });
-    world.told.takeSettings(world.settings.dump(), world.loop.now());
+    world.told.updateSettings(world.settings.dump(), world.loop.now());
     world.run([&] { return world.told.isReady(); });
     BOOST_TEST(world.told.isReady());
 }
@@ -355,9 +355,9 @@
     Gateway gateway(loop, {}, platformDialect(), {}, [] { return 1u; });
     UpstreamRecord const record { "i-1", "chat", "10.1.1.1:80", "north", 64, true, Milliseconds(0) };
     Instant const sent { Seconds(10) };
-    BOOST_TEST(gateway.takeUpstreams({ { "i-1", record } }, true, sent));
-    BOOST_TEST(!gateway.takeUpstreams({}, true, sent - Milliseconds(1)));
-    BOOST_TEST(gateway.takeUpstreams({}, true, sent));
+    BOOST_TEST(gateway.updateUpstreams({ { "i-1", record } }, true, sent));
+    BOOST_TEST(!gateway.updateUpstreams({}, true, sent - Milliseconds(1)));
+    BOOST_TEST(gateway.updateUpstreams({}, true, sent));
 }
 
 BOOST_AUTO_TEST_CASE(AStateOfThousandsOfUpstreamsIsRead)
