--- /dev/null
+++ b/Services/stagepostd/CrashDetector.cpp
@@ -0,0 +1,100 @@
+#include <stagepostd/CrashDetector.h>
+
+#include <LibBase/Hex.h>
+#include <LibBase/Log.h>
+
+namespace Stagepost {
+
+namespace {
+
+    // A process closes its port and its connections within milliseconds, in any order.
+    constexpr size_t maxProbes = 2;
+    constexpr Milliseconds probeInterval { 50 };
+    // Until an upstream that starts again at once is known by its record: its first report and
+    // the read of it take two to three seconds.
+    constexpr Milliseconds pendingCheckTimeout { 5000 };
+
+}
+
+CrashDetector::CrashDetector(EventLoop& loop, Metrics& metrics, CrashSuspects& suspects, Hooks hooks)
+    : m_loop(loop)
+    , m_metrics(metrics)
+    , m_suspects(suspects)
+    , m_hooks(std::move(hooks))
+{
+}
+
+void CrashDetector::requestBroken(BrokenRequest const& broken)
+{
+    auto const now = m_loop.now();
+    auto const [position, isNew] = m_pendingChecks.try_emplace(broken.upstream);
+    auto& check = position->second;
+    check.requests.insert(broken.request);
+    check.instance = broken.instance;
+    check.endpoint = broken.endpoint;
+    if (isNew)
+        check.since = now;
+    if (check.isProbing)
+        return;
+    check.probes = 0;
+    probe(broken.upstream, check);
+}
+
+void CrashDetector::probe(UpstreamId upstream, PendingCheck& check)
+{
+    check.isProbing = true;
+    ++check.probes;
+    m_hooks.probe(check.endpoint, [this, upstream](PortState state) { handleProbeResult(upstream, state); });
+}
+
+void CrashDetector::handleProbeResult(UpstreamId upstream, PortState state)
+{
+    auto const found = m_pendingChecks.find(upstream);
+    if (found == m_pendingChecks.end())
+        return;
+    found->second.isProbing = false;
+    found->second.nextProbeAt = m_loop.now() + probeInterval;
+    if (state == PortState::Closed)
+        confirmCrash(upstream, "port-closed");
+}
+
+void CrashDetector::upstreamRestarted(UpstreamId upstream)
+{
+    confirmCrash(upstream, "restarted");
+}
+
+void CrashDetector::confirmCrash(UpstreamId upstream, std::string_view evidence)
+{
+    auto const check = m_pendingChecks.extract(upstream);
+    if (check.empty())
+        return;
+    auto const& requests = check.mapped().requests;
+    m_metrics.count("stagepost_upstream_ends_total");
+    logEvent(LogLevel::Warning, "upstream-ended", { { "instance", check.mapped().instance }, { "evidence", evidence }, { "requests", requests.size() } });
+    for (auto const request : requests) {
+        if (!m_suspects.ended(request, upstream, m_loop.now()))
+            continue;
+        logEvent(LogLevel::Info, "crash-evidence", { { "request", hexOf(request.value()) }, { "source", "seen" }, { "instance", check.mapped().instance }, { "ends", m_suspects.endCount(request) }, { "guilty", m_suspects.isGuilty(request) ? 1 : 0 } });
+        m_hooks.evidenceChanged(request);
+    }
+}
+
+void CrashDetector::requestAnswered(RequestFingerprint request)
+{
+    if (!m_suspects.answered(request, m_loop.now()))
+        return;
+    logEvent(LogLevel::Info, "crash-evidence-cleared", { { "request", hexOf(request.value()) }, { "source", "answered" } });
+    m_hooks.evidenceChanged(request);
+}
+
+void CrashDetector::tick()
+{
+    auto const now = m_loop.now();
+    std::erase_if(m_pendingChecks, [now](auto const& entry) { return !entry.second.isProbing && now - entry.second.since > pendingCheckTimeout; });
+    for (auto& [upstream, check] : m_pendingChecks) {
+        if (!check.isProbing && check.probes < maxProbes && now >= check.nextProbeAt)
+            probe(upstream, check);
+    }
+}
+
+}
--- a/Services/stagepostd/CrashWatch.h
+++ b/Services/stagepostd/CrashDetector.h
@@ -10,13 +10,13 @@
 // Finds out which broken answers were the end of an upstream's process, and books those on the
 // requests that were there. An answer that breaks off may be the network's or that answer's own
 // matter; a port that is closed right after it, or another start of the upstream in its place, is not.
-class CrashWatch {
+class CrashDetector {
 public:
     struct Hooks {
         // Asks the upstream's port what became of it.
         std::function<void(Endpoint const&, PortProbe::Callback)> probe;
         // Something new is known of the request, which others are to know.
-        std::function<void(RequestFingerprint)> seen;
+        std::function<void(RequestFingerprint)> evidenceChanged;
     };
 
     // A request that the upstream broke off.
@@ -28,24 +28,24 @@
         Endpoint endpoint;
     };
 
-    CrashWatch(EventLoop&, Metrics&, CrashSuspects&, Hooks);
-    CrashWatch(CrashWatch const&) = delete;
-    CrashWatch& operator=(CrashWatch const&) = delete;
+    CrashDetector(EventLoop&, Metrics&, CrashSuspects&, Hooks);
+    CrashDetector(CrashDetector const&) = delete;
+    CrashDetector& operator=(CrashDetector const&) = delete;
 
     // While nothing is suspected no request needs its fingerprint.
     bool hasSuspects() const { return !m_suspects.isEmpty(); }
     bool isGuilty(RequestFingerprint request) const { return m_suspects.isGuilty(request); }
 
-    void brokeOff(BrokenRequest const&);
+    void requestBroken(BrokenRequest const&);
     // The request was answered whole.
-    void answered(RequestFingerprint);
+    void requestAnswered(RequestFingerprint);
     // Another start of the upstream has taken the place of this one.
-    void restarted(UpstreamId);
+    void upstreamRestarted(UpstreamId);
     void tick();
 
 private:
     // What an upstream broke off, until it is known whether it has ended.
-    struct Doubt {
+    struct PendingCheck {
         std::set<RequestFingerprint> requests;
         std::string instance;
         Endpoint endpoint;
@@ -55,15 +55,15 @@
         bool isProbing { false };
     };
 
-    void probe(UpstreamId, Doubt&);
-    void probed(UpstreamId, PortState);
-    void confirm(UpstreamId, std::string_view evidence);
+    void probe(UpstreamId, PendingCheck&);
+    void handleProbeResult(UpstreamId, PortState);
+    void confirmCrash(UpstreamId, std::string_view evidence);
 
     EventLoop& m_loop;
     Metrics& m_metrics;
     CrashSuspects& m_suspects;
     Hooks m_hooks;
-    std::map<UpstreamId, Doubt> m_doubts;
+    std::map<UpstreamId, PendingCheck> m_pendingChecks;
 };
 
 }
--- a/Services/stagepostd/Gateway.cpp
+++ b/Services/stagepostd/Gateway.cpp
@@ -13,7 +13,7 @@
     // Fine enough for lapsed records and readiness, whose bounds are seconds.
     constexpr Milliseconds tickInterval { 100 };
     // What a caller is told to wait where only the platform can change things.
-    constexpr Milliseconds platformPause { 250 };
+    constexpr Milliseconds platformRetryDelay { 250 };
     // Connections come up or are refused within a few milliseconds, or hardly at all.
     constexpr Milliseconds portTimeout { 500 };
     constexpr unsigned statusUnready = 503;
@@ -46,22 +46,22 @@
     , m_dialect(std::move(dialect))
     , m_registry(std::move(registry))
     , m_random(std::move(random))
-    , m_intake(loop, { m_dialect.readSettings, [this](Result<RouteTable::Parts>&& parts, SettingsIntake::Arrival const& arrival) { return applySettings(std::move(parts), arrival); }, [this](Microseconds turn) { m_metrics.observe("stagepost_settings_turn_seconds", turn); } })
+    , m_settingsLoader(loop, { m_dialect.readSettings, [this](Result<RouteTable::Parts>&& parts, SettingsLoader::PendingSettings const& loaded) { return applySettings(std::move(parts), loaded); }, [this](Microseconds turn) { m_metrics.observe("stagepost_settings_turn_seconds", turn); } })
     , m_fingerprintKey(std::to_string(m_random()))
     , m_suspects(VMId::fromName(m_options.name))
-    , m_board({ m_options.hall, m_options.placement, m_options.retries }, m_random, [this](Endpoint const& upstream) { m_server.dropIdleConnections(upstream); })
+    , m_serviceTable({ m_options.hall, m_options.placement, m_options.retries }, m_random, [this](Endpoint const& upstream) { m_server.dropIdleConnections(upstream); })
     , m_directory(m_options.directory, [this](UpstreamChange const& change) { applyUpstream(change); })
     , m_emptiedHalls({ m_options.directory.returnGrace }, [this](HallOrder const& order) { applyHallOrder(order); })
     , m_peers(loop, m_metrics, m_options.exchange, m_suspects, m_random, peerHooks())
     , m_portProbe(loop)
-    , m_crashes(loop, m_metrics, m_suspects, crashHooks())
-    , m_services { loop, m_metrics, m_board, m_crashes, m_peers, m_dialect, [this] { return areKeysFresh(); }, [this] { return awaitsProof(); }, [this] { return settingsAge(); }, [this] { return m_peers.share(); }, [this](RequestTraits const& traits) { return m_fingerprintKey.fingerprintOf(traits); } }
+    , m_crashDetector(loop, m_metrics, m_suspects, crashDetectorHooks())
+    , m_services { loop, m_metrics, m_serviceTable, m_crashDetector, m_peers, m_dialect, [this] { return areKeysFresh(); }, [this] { return needsRevalidation(); }, [this] { return settingsAge(); }, [this] { return m_peers.share(); }, [this](RequestTraits const& traits) { return m_fingerprintKey.fingerprintOf(traits); } }
     , m_server(
           loop, {}, [this](std::shared_ptr<Exchange> const& exchange) { handle(exchange); }, [this](Refusal const& refusal) { return refuse(refusal); })
     , m_readyServer(
           loop, {}, [this](std::shared_ptr<Exchange> const& exchange) { handleReady(*exchange); }, [this](Refusal const& refusal) { return refuse(refusal); })
     , m_ticker(loop)
-    , m_absence(m_metrics, { tickInterval, m_options.directory.outage })
+    , m_stallDetector(m_metrics, { tickInterval, m_options.directory.outage })
     , m_drain(loop, m_server)
 {
 }
@@ -71,54 +71,54 @@
     GatewayPeers::Hooks hooks;
     hooks.beliefs.summary = [this] { return summary(); };
     hooks.beliefs.provenAt = [this] { return provenAt(); };
-    hooks.beliefs.confirmed = [this](Instant provenAt) { confirmed(provenAt); };
+    hooks.beliefs.confirmed = [this](Instant provenAt) { confirmState(provenAt); };
     hooks.beliefs.changesSince = [this](uint64_t hash) { return m_directory.changesSince(hash).value_or(std::vector<UpstreamChange> {}); };
     hooks.beliefs.applyChanges = [this](auto const& changes, Instant provenAt) { applyChanges("changes", changes, provenAt); };
     hooks.beliefs.registrySince = m_registry.since;
     hooks.beliefs.applyRegistry = m_registry.take;
     hooks.beliefs.emptiedHalls = [this] { return m_emptiedHalls.state(); };
-    hooks.beliefs.takeEmptiedHalls = [this](auto const& told, std::optional<Instant> provenAt) { takeToldHalls(told, provenAt); };
+    hooks.beliefs.takeEmptiedHalls = [this](auto const& told, std::optional<Instant> provenAt) { mergeEmptiedHalls(told, provenAt); };
     hooks.beliefs.upstreamsOf = [this](uint64_t hash) { return m_directory.listAt(hash); };
     hooks.beliefs.ownInFlight = [this] { return ownInFlight(); };
-    hooks.beliefs.othersInFlight = [this](auto const& others, Microseconds age) { takeOthersInFlight(others, age); };
+    hooks.beliefs.othersInFlight = [this](auto const& others, Microseconds age) { setOthersInFlight(others, age); };
     hooks.state = [this](StateSummary const& known) { return state(known); };
-    hooks.wantsState = [this](StateSummary const& other) { return wantsState(other); };
-    hooks.takeState = [this](GatewayState const& state, std::optional<Instant> provenAt) { takeState(state, provenAt); };
+    hooks.needsStateFrom = [this](StateSummary const& other) { return needsStateFrom(other); };
+    hooks.mergeState = [this](GatewayState const& state, std::optional<Instant> provenAt) { mergeState(state, provenAt); };
     hooks.forecast = [this](UpstreamId upstream) { return forecast(upstream); };
     return hooks;
 }
 
 UpstreamForecast Gateway::forecast(UpstreamId upstream)
 {
-    auto const* target = m_board.target(upstream);
-    return target ? m_board.service(target->service).placement.forecast(upstream, m_loop.now()) : UpstreamForecast {};
+    auto const* target = m_serviceTable.target(upstream);
+    return target ? m_serviceTable.service(target->service).placement.forecast(upstream, m_loop.now()) : UpstreamForecast {};
 }
 
-CrashWatch::Hooks Gateway::crashHooks()
+CrashDetector::Hooks Gateway::crashDetectorHooks()
 {
-    CrashWatch::Hooks hooks;
+    CrashDetector::Hooks hooks;
     hooks.probe = [this](Endpoint const& endpoint, PortProbe::Callback callback) { m_portProbe.probe(endpoint, portTimeout, std::move(callback)); };
-    hooks.seen = [this](RequestFingerprint request) { m_peers.crashSeen(request, m_loop.now()); };
+    hooks.evidenceChanged = [this](RequestFingerprint request) { m_peers.shareCrashEvidence(request, m_loop.now()); };
     return hooks;
 }
 
 void Gateway::applyUpstream(UpstreamChange const& change)
 {
-    auto const before = m_board.idOf(change.instance);
-    m_board.apply(change, m_loop.now());
+    auto const before = m_serviceTable.currentId(change.instance);
+    m_serviceTable.apply(change, m_loop.now());
     if (before && change.record && change.record->id() != *before)
-        m_crashes.restarted(*before);
+        m_crashDetector.upstreamRestarted(*before);
 }
 
 void Gateway::applyHallOrder(HallOrder const& order)
 {
-    m_board.setEmptied(HallId::fromName(order.hall), order.isEmptied, m_loop.now());
+    m_serviceTable.setHallEmptied(HallId::fromName(order.hall), order.isEmptied, m_loop.now());
     m_metrics.setGauge("stagepost_emptied_halls", static_cast<double>(m_emptiedHalls.state().halls.size()));
     logEvent(LogLevel::Info, order.isEmptied ? "hall-emptied" : "hall-taken-back",
         { { "hall", order.hall }, { "position", m_emptiedHalls.state().position }, { "age_ms", m_emptiedHalls.age().age(m_loop.now()).value_or(Microseconds(0)).count() / 1000 } });
 }
 
-void Gateway::takeHallOrders(std::vector<HallOrder> const& orders, bool isWhole, Instant readSentAt, uint64_t position, bool isAfterReturn)
+void Gateway::updateHallOrders(std::vector<HallOrder> const& orders, bool isWhole, Instant readSentAt, uint64_t position, bool isAfterReturn)
 {
     auto const before = m_emptiedHalls.state().halls;
     if (isAfterReturn)
@@ -128,15 +128,15 @@
     else
         m_emptiedHalls.apply(orders, position, readSentAt);
     if (before != m_emptiedHalls.state().halls)
-        m_peers.changed(m_loop.now());
+        m_peers.stateChanged(m_loop.now());
 }
 
-void Gateway::takeToldHalls(EmptiedHallsState const& told, std::optional<Instant> provenAt)
+void Gateway::mergeEmptiedHalls(EmptiedHallsState const& told, std::optional<Instant> provenAt)
 {
     auto const before = m_emptiedHalls.state().halls;
     m_emptiedHalls.takeTold(told, provenAt);
     if (before != m_emptiedHalls.state().halls)
-        m_peers.changed(m_loop.now());
+        m_peers.stateChanged(m_loop.now());
 }
 
 Result<void> Gateway::start()
@@ -146,7 +146,7 @@
     m_peerEndpoint = TRY(m_peers.listen(m_options.peerListen));
     logEvent(LogLevel::Info, "started", { { "name", m_options.name }, { "hall", m_options.hall }, { "listen", m_callerEndpoint.toString() }, { "ready_listen", m_readyEndpoint.toString() }, { "peer_listen", m_peerEndpoint.toString() } });
     m_server.setClosing(true);
-    m_absence.start(m_loop.now());
+    m_stallDetector.start(m_loop.now());
     m_ticker.every(tickInterval, [this] { tick(); });
     return {};
 }
@@ -163,20 +163,20 @@
 
 bool Gateway::isReady() const
 {
-    return !m_isDraining && m_table && m_directory.hasList() && areKeysFresh() && !awaitsProof();
+    return !m_isDraining && m_table && m_directory.hasList() && areKeysFresh() && !needsRevalidation();
 }
 
 // A daemon that is told of a newer configuration gets it from there, unless that takes
 // longer than its patience.
 bool Gateway::isSettingsOverdue() const
 {
-    auto const isOver = [&](Instant since) { return m_loop.now() - since > m_options.settingsPatience; };
-    bool const isWanted = m_wantedSettings > settingsVersion() && !m_intake.isTaking(m_wantedSettings);
-    bool const isStoreAhead = m_storeIsAheadSince && !m_intake.isBusy();
-    return (isWanted && isOver(m_wantedSince)) || (isStoreAhead && isOver(*m_storeIsAheadSince));
+    auto const isOver = [&](Instant since) { return m_loop.now() - since > m_options.peerSettingsTimeout; };
+    bool const isWanted = m_announcedVersion > settingsVersion() && !m_settingsLoader.isLoading(m_announcedVersion);
+    bool const isStoreAhead = m_storeIsAheadSince && !m_settingsLoader.isBusy();
+    return (isWanted && isOver(m_announcedSince)) || (isStoreAhead && isOver(*m_storeIsAheadSince));
 }
 
-void Gateway::noteNewerSettings()
+void Gateway::notifyNewerSettings()
 {
     if (!m_storeIsAheadSince)
         m_storeIsAheadSince = m_loop.now();
@@ -184,65 +184,65 @@
 
 // A read without a newer configuration proves the newest that came, which may still be
 // on its way to being in force.
-void Gateway::takeSettings(std::optional<std::string> text, Instant readSentAt, uint64_t position)
+void Gateway::updateSettings(std::optional<std::string> text, Instant readSentAt, uint64_t position)
 {
     m_storeIsAheadSince.reset();
-    bool const isNew = text && (m_intake.isBusy() || *text != m_settings.text());
+    bool const isNew = text && (m_settingsLoader.isBusy() || *text != m_settingsHistory.text());
     if (isNew)
-        m_intake.take({ makeSettingsText(std::move(*text)), {}, [this, readSentAt] { settingsProven(readSentAt); }, position });
-    else if (m_intake.isBusy())
-        m_readWhileTaking = readSentAt;
+        m_settingsLoader.load({ makeSettingsText(std::move(*text)), {}, [this, readSentAt] { confirmSettings(readSentAt); }, position });
+    else if (m_settingsLoader.isBusy())
+        m_confirmAfterLoad = readSentAt;
     else {
         m_settingsPosition = position;
-        settingsProven(readSentAt);
+        confirmSettings(readSentAt);
     }
 }
 
-void Gateway::settingsProven(Instant readSentAt)
+void Gateway::confirmSettings(Instant readSentAt)
 {
     m_tableAge.confirm(readSentAt);
-    if (m_readWhileTaking && !m_intake.isBusy())
-        m_tableAge.confirm(*std::exchange(m_readWhileTaking, {}));
-    noteReadiness();
-    m_peers.proven(m_loop.now());
+    if (m_confirmAfterLoad && !m_settingsLoader.isBusy())
+        m_tableAge.confirm(*std::exchange(m_confirmAfterLoad, {}));
+    updateReadiness();
+    m_peers.stateConfirmed(m_loop.now());
 }
 
 // False where the text cannot be read.
-bool Gateway::applySettings(Result<RouteTable::Parts>&& parts, SettingsIntake::Arrival const& arrival)
+bool Gateway::applySettings(Result<RouteTable::Parts>&& parts, SettingsLoader::PendingSettings const& loaded)
 {
     if (!parts) {
-        m_readWhileTaking.reset();
+        m_confirmAfterLoad.reset();
         m_metrics.count("stagepost_settings_rejected_total");
         logEvent(LogLevel::Error, "settings-rejected", { { "reason", parts.error().message() }, { "in_force", settingsVersion() } });
         return false;
     }
     if (m_table && parts->version <= m_table->version()) {
         // Up to there is nothing newer: after the return of a store from a copy, too.
-        m_settingsPosition = std::max(m_settingsPosition, arrival.position);
+        m_settingsPosition = std::max(m_settingsPosition, loaded.position);
         return true;
     }
     m_table = std::make_shared<RouteTable const>(std::move(*parts));
-    m_settingsPosition = arrival.position;
+    m_settingsPosition = loaded.position;
     m_storeIsAheadSince.reset();
-    bool const isAsTold = arrival.told && arrival.told->version == m_table->version();
-    m_settings.add(m_table->version(), arrival.text, isAsTold ? arrival.told : std::nullopt);
+    bool const isAsReceived = loaded.update && loaded.update->version == m_table->version();
+    m_settingsHistory.add(m_table->version(), loaded.text, isAsReceived ? loaded.update : std::nullopt);
     m_server.setOptions(serverOptions(m_table->limits()));
     applyColdBounds();
     m_metrics.setGauge("stagepost_settings_version", static_cast<double>(m_table->version()));
-    logEvent(LogLevel::Info, "settings-in-force", { { "version", m_table->version() }, { "routes", m_table->routeCount() }, { "source", arrival.told ? "told" : "store" }, { "took_ms", (m_loop.now() - arrival.begunAt).count() / 1000 }, { "longest_turn_us", arrival.longestTurn.count() } });
-    m_peers.changed(m_loop.now());
+    logEvent(LogLevel::Info, "settings-in-force", { { "version", m_table->version() }, { "routes", m_table->routeCount() }, { "source", loaded.update ? "told" : "store" }, { "took_ms", (m_loop.now() - loaded.startedAt).count() / 1000 }, { "longest_turn_us", loaded.longestSlice.count() } });
+    m_peers.stateChanged(m_loop.now());
     return true;
 }
 
 void Gateway::applyColdBounds()
 {
     for (auto const& service : m_table->services())
-        m_board.service(service.name).placement.setColdBound({ service.coldPerSecond, m_options.coldOvershoot, m_options.coldSlack, service.coldDuration });
+        m_serviceTable.service(service.name).placement.setColdBound({ service.coldPerSecond, m_options.coldOvershoot, m_options.coldSlack, service.coldDuration });
 }
 
 // An answer that was long on its way may be older than what other daemons have
 // proven meanwhile, and must not take that back.
-bool Gateway::takeUpstreams(std::vector<UpstreamChange> const& changes, bool isWhole, Instant readSentAt, bool isAfterReturn)
+bool Gateway::updateUpstreams(std::vector<UpstreamChange> const& changes, bool isWhole, Instant readSentAt, bool isAfterReturn)
 {
     auto const known = m_directory.age().provenAt();
     if (known && *known > readSentAt) {
@@ -253,12 +253,12 @@
         replaceUpstreams("store", recordsOf(changes), readSentAt, isAfterReturn);
     else
         applyChanges("store", changes, readSentAt);
-    noteReadiness();
-    m_peers.proven(m_loop.now());
+    updateReadiness();
+    m_peers.stateConfirmed(m_loop.now());
     return true;
 }
 
-void Gateway::noteUpstreams(std::string_view source, uint64_t hashBefore)
+void Gateway::logUpstreamsIfChanged(std::string_view source, uint64_t hashBefore)
 {
     if (m_directory.hash() == hashBefore)
         return;
@@ -276,7 +276,7 @@
         m_directory.replaceAfterReturn(all, provenAt, now);
     else
         m_directory.replace(all, now);
-    noteUpstreams(source, hashBefore);
+    logUpstreamsIfChanged(source, hashBefore);
 }
 
 StateSummary Gateway::summary() const
@@ -286,13 +286,13 @@
 
 // Whatever is newer or differs is asked for; the store is read where that does not
 // bring it in time.
-bool Gateway::wantsState(StateSummary const& other)
+bool Gateway::needsStateFrom(StateSummary const& other)
 {
-    if (other.settingsVersion > settingsVersion() && m_wantedSettings <= settingsVersion())
-        m_wantedSince = m_loop.now();
-    m_wantedSettings = std::max(m_wantedSettings, other.settingsVersion);
-    bool const isOnItsWay = m_intake.isTaking(other.settingsVersion) && other.upstreamsHash == m_directory.hash();
-    return !isOnItsWay;
+    if (other.settingsVersion > settingsVersion() && m_announcedVersion <= settingsVersion())
+        m_announcedSince = m_loop.now();
+    m_announcedVersion = std::max(m_announcedVersion, other.settingsVersion);
+    bool const isLoadingNewest = m_settingsLoader.isLoading(other.settingsVersion) && other.upstreamsHash == m_directory.hash();
+    return !isLoadingNewest;
 }
 
 std::optional<Instant> Gateway::provenAt() const
@@ -305,7 +305,7 @@
     return std::min({ *settings, *upstreams, *halls });
 }
 
-void Gateway::confirmed(Instant provenAt)
+void Gateway::confirmState(Instant provenAt)
 {
     m_directory.confirm(provenAt);
     m_directory.confirmWhole();
@@ -314,8 +314,8 @@
     // What the store had more than was known here is no newer configuration.
     if (m_storeIsAheadSince && provenAt >= *m_storeIsAheadSince)
         m_storeIsAheadSince.reset();
-    noteReadiness();
-    m_peers.proven(m_loop.now());
+    updateReadiness();
+    m_peers.stateConfirmed(m_loop.now());
 }
 
 void Gateway::applyChanges(std::string_view source, std::vector<UpstreamChange> const& changes, Instant provenAt)
@@ -329,12 +329,12 @@
         else
             m_directory.remove(change.instance, now);
     }
-    noteUpstreams(source, hashBefore);
+    logUpstreamsIfChanged(source, hashBefore);
 }
 
 GatewayState Gateway::state(StateSummary const& known) const
 {
-    GatewayState state { m_settings.since(known.settingsVersion), m_directory.hash(), {} };
+    GatewayState state { m_settingsHistory.updateSince(known.settingsVersion), m_directory.hash(), {} };
     state.settings.position = m_settingsPosition;
     if (known.upstreamsHash == m_directory.hash())
         return state;
@@ -346,13 +346,13 @@
 
 // The list of upstreams is taken only where it is proven to be newer than what
 // is known here; a configuration orders itself by its version.
-void Gateway::takeState(GatewayState const& state, std::optional<Instant> provenAt)
+void Gateway::mergeState(GatewayState const& state, std::optional<Instant> provenAt)
 {
     if (provenAt)
-        takeToldUpstreams(state, *provenAt);
+        mergeUpstreams(state, *provenAt);
     auto const confirm = [this, version = state.settings.version, hash = state.upstreamsHash, provenAt] {
         if (provenAt)
-            confirmTold(version, hash, *provenAt);
+            confirmIfCurrent(version, hash, *provenAt);
     };
     if (state.settings.version <= settingsVersion()) {
         if (state.settings.version == settingsVersion())
@@ -360,17 +360,17 @@
         confirm();
         return;
     }
-    if (m_intake.isTaking(state.settings.version))
+    if (m_settingsLoader.isLoading(state.settings.version))
         return;
-    if (auto text = m_settings.textOf(state.settings)) {
-        m_intake.take({ makeSettingsText(std::move(*text)), state.settings, confirm, state.settings.position });
+    if (auto text = m_settingsHistory.applyUpdate(state.settings)) {
+        m_settingsLoader.load({ makeSettingsText(std::move(*text)), state.settings, confirm, state.settings.position });
         return;
     }
-    m_wantedSince = m_loop.now() - m_options.settingsPatience - Milliseconds(1);
+    m_announcedSince = m_loop.now() - m_options.peerSettingsTimeout - Milliseconds(1);
     logEvent(LogLevel::Info, "settings-left-to-the-store", { { "version", state.settings.version }, { "in_force", settingsVersion() } });
 }
 
-void Gateway::takeToldUpstreams(GatewayState const& state, Instant provenAt)
+void Gateway::mergeUpstreams(GatewayState const& state, Instant provenAt)
 {
     auto const known = m_directory.age().provenAt();
     if (state.upstreams && (!known || provenAt > *known))
@@ -378,28 +378,28 @@
 }
 
 // The own beliefs may have changed since they were told what leads on from them.
-void Gateway::confirmTold(uint64_t settingsVersion, uint64_t upstreamsHash, Instant provenAt)
+void Gateway::confirmIfCurrent(uint64_t settingsVersion, uint64_t upstreamsHash, Instant provenAt)
 {
     if (this->settingsVersion() >= settingsVersion && m_directory.hash() == upstreamsHash)
-        confirmed(provenAt);
+        confirmState(provenAt);
 }
 
 std::vector<UpstreamInFlight> Gateway::ownInFlight() const
 {
     std::vector<UpstreamInFlight> result;
-    for (auto const& [name, service] : m_board.services()) {
+    for (auto const& [name, service] : m_serviceTable.services()) {
         for (auto const& [upstream, count] : service->placement.ownInFlight())
             result.push_back({ upstream, count });
     }
     return result;
 }
 
-void Gateway::takeOthersInFlight(std::vector<UpstreamInFlight> const& list, Microseconds age)
+void Gateway::setOthersInFlight(std::vector<UpstreamInFlight> const& list, Microseconds age)
 {
     std::map<UpstreamId, size_t> counts;
     for (auto const& [upstream, count] : list)
         counts[upstream] = count;
-    for (auto const& [name, service] : m_board.services())
+    for (auto const& [name, service] : m_serviceTable.services())
         service->placement.othersCounted(counts, age, m_loop.now());
 }
 
@@ -412,36 +412,36 @@
 void Gateway::setPeers(std::vector<GatewayPeer> const& peers)
 {
     m_peers.setPeers(peers);
-    m_board.setRetryShare(m_peers.share());
+    m_serviceTable.setRetryShare(m_peers.share());
 }
 
 // Time in which nobody waited is no silence of upstreams.
-void Gateway::noteAbsence(Microseconds stoodStill)
+void Gateway::handleStall(Microseconds stall)
 {
-    if (stoodStill > Microseconds(0))
-        m_board.silence().stoodStill(stoodStill);
+    if (stall > Microseconds(0))
+        m_serviceTable.silence().stoodStill(stall);
 }
 
-bool Gateway::awaitsProof() const
+bool Gateway::needsRevalidation() const
 {
-    return m_absence.awaitsProof(provenAt(), m_loop.now());
+    return m_stallDetector.needsRevalidation(provenAt(), m_loop.now());
 }
 
 void Gateway::tick()
 {
-    noteAbsence(m_absence.tick(m_loop.now(), m_server.openExchanges()));
+    handleStall(m_stallDetector.tick(m_loop.now(), m_server.openExchanges()));
     auto const upstreamsBefore = m_directory.hash();
     m_directory.tick(m_loop.now());
     m_emptiedHalls.tick(m_loop.now());
-    noteUpstreams("not-written-again", upstreamsBefore);
-    m_crashes.tick();
-    noteReadiness();
+    logUpstreamsIfChanged("not-written-again", upstreamsBefore);
+    m_crashDetector.tick();
+    updateReadiness();
     flushLog();
 }
 
 // While it is not ready, its answers close their connections: callers that keep
 // one open would otherwise stay with a daemon that cannot serve them.
-void Gateway::noteReadiness()
+void Gateway::updateReadiness()
 {
     bool const isReadyNow = isReady();
     if (isReadyNow == m_wasReady)
@@ -460,7 +460,7 @@
 
 void Gateway::setServiceGauges()
 {
-    for (auto const& [name, service] : m_board.services()) {
+    for (auto const& [name, service] : m_serviceTable.services()) {
         auto const label = "{service=\"" + name + "\"}";
         auto const occupancy = service->placement.occupancy();
         m_metrics.setGauge("stagepost_requests_per_place" + label, occupancy.perPlace);
@@ -475,7 +475,7 @@
 {
     setServiceGauges();
     m_metrics.setGauge("stagepost_open_requests", static_cast<double>(m_server.openExchanges()));
-    m_metrics.setGauge("stagepost_upstreams", static_cast<double>(m_board.upstreamCount()));
+    m_metrics.setGauge("stagepost_upstreams", static_cast<double>(m_serviceTable.upstreamCount()));
     m_metrics.setGauge("stagepost_suspect_requests", static_cast<double>(m_suspects.all().size()));
     m_metrics.setGauge("stagepost_control_bytes_sent", static_cast<double>(m_peers.bytesSent()));
     m_metrics.setGauge("stagepost_peer_unreadable_counts", static_cast<double>(m_peers.unreadableCounts()));
@@ -502,8 +502,8 @@
 void Gateway::handle(std::shared_ptr<Exchange> const& exchange)
 {
     // A belief grows too old by itself, between two ticks as well.
-    noteAbsence(m_absence.look(m_loop.now(), m_server.openExchanges()));
-    noteReadiness();
+    handleStall(m_stallDetector.check(m_loop.now(), m_server.openExchanges()));
+    updateReadiness();
     auto routed = route(exchange->call());
     if (auto const* refusal = std::get_if<Refusal>(&routed)) {
         logRequest(
@@ -512,13 +512,13 @@
         exchange->respond(refuse(*refusal));
         return;
     }
-    std::make_shared<GatewayFlow>(m_services, exchange, std::move(std::get<RoutedRequest>(routed)))->start();
+    std::make_shared<GatewayRequestHandler>(m_services, exchange, std::move(std::get<RoutedRequest>(routed)))->start();
 }
 
 std::variant<RoutedRequest, Refusal> Gateway::route(HttpCall const& call) const
 {
     if (!m_table)
-        return Refusal { RefusalReason::NoSettings, Verdict::NotRun, "this daemon has no configuration yet", platformPause };
+        return Refusal { RefusalReason::NoSettings, Verdict::NotRun, "this daemon has no configuration yet", platformRetryDelay };
     RoutedRequest request;
     request.table = m_table;
     request.receivedAt = m_loop.now();
@@ -542,7 +542,7 @@
 {
     auto const* organisation = m_table->organisationOf(request.call.key);
     if (!areKeysFresh())
-        return Refusal { RefusalReason::SettingsTooOld, Verdict::NotRun, "the configuration is too old to tell whether the key is good", platformPause };
+        return Refusal { RefusalReason::SettingsTooOld, Verdict::NotRun, "the configuration is too old to tell whether the key is good", platformRetryDelay };
     if (!organisation)
         return Refusal { RefusalReason::UnknownKey, Verdict::NotRun, "no organisation has this key", {} };
     request.organisation = organisation->name;
@@ -574,7 +574,7 @@
     if (m_isDraining)
         return;
     m_isDraining = true;
-    noteReadiness();
+    updateReadiness();
     logEvent(LogLevel::Info, "draining", { { "open", m_server.openExchanges() } });
     auto const limit = m_loop.now() + m_options.drainLimit - drainReserve;
     m_drain.start(m_options.drainAccept, limit, std::move(drained));
--- a/Services/stagepostd/Gateway.h
+++ b/Services/stagepostd/Gateway.h
@@ -4,12 +4,12 @@
 #include <LibMembership/UpstreamDirectory.h>
 #include <LibProxy/HttpServer.h>
 #include <LibProxy/Timer.h>
-#include <stagepostd/AbsenceWatch.h>
-#include <stagepostd/GatewayFlow.h>
+#include <stagepostd/StallDetector.h>
+#include <stagepostd/GatewayRequestHandler.h>
 #include <stagepostd/GatewayOptions.h>
 #include <stagepostd/GatewayPeers.h>
 #include <stagepostd/ServerDrain.h>
-#include <stagepostd/SettingsIntake.h>
+#include <stagepostd/SettingsLoader.h>
 #include <variant>
 
 namespace Stagepost {
@@ -31,18 +31,18 @@
     // leaves the one before in force, and proves nothing. It is read beside the requests
     // and in force some turns of the loop later.
     // The position is where the platform's records go on, or 0.
-    void takeSettings(std::optional<std::string> text, Instant readSentAt, uint64_t position = 0);
+    void updateSettings(std::optional<std::string> text, Instant readSentAt, uint64_t position = 0);
 
     // The orders to empty halls that a read of the store added, or all that there are, and up
     // to where they are known. After the return of a store that has lost its last seconds,
     // what is missing may come back.
-    void takeHallOrders(std::vector<HallOrder> const&, bool isWhole, Instant readSentAt, uint64_t position, bool isAfterReturn);
+    void updateHallOrders(std::vector<HallOrder> const&, bool isWhole, Instant readSentAt, uint64_t position, bool isAfterReturn);
 
     // The changes since the last read, or all upstreams that there are. False where
     // other daemons have proven newer ones meanwhile: the read is not taken, and all
     // have to be read anew.
     // After the return of a store that has lost its last seconds, what is missing may come back.
-    bool takeUpstreams(std::vector<UpstreamChange> const&, bool isWhole, Instant readSentAt, bool isAfterReturn = false);
+    bool updateUpstreams(std::vector<UpstreamChange> const&, bool isWhole, Instant readSentAt, bool isAfterReturn = false);
 
     // Whether this daemon is to read the store now, or others do it for it.
     bool needsStore() const { return m_peers.needsStore(m_loop.now()); }
@@ -56,7 +56,7 @@
     // tell what they hold.
     bool needsSettingsRecords() const { return m_peers.isReader() || isSettingsOverdue(); }
     // The store has records behind the position that were not read.
-    void noteNewerSettings();
+    void notifyNewerSettings();
     // Where the platform's records go on behind the configuration in force and the orders
     // that are known; 0 where that is not known.
     uint64_t settingsPosition() const { return std::min(m_settingsPosition, m_emptiedHalls.state().position); }
@@ -78,11 +78,11 @@
 
 private:
     GatewayPeers::Hooks peerHooks();
-    CrashWatch::Hooks crashHooks();
+    CrashDetector::Hooks crashDetectorHooks();
     UpstreamForecast forecast(UpstreamId);
     void applyUpstream(UpstreamChange const&);
     void applyHallOrder(HallOrder const&);
-    void takeToldHalls(EmptiedHallsState const&, std::optional<Instant> provenAt);
+    void mergeEmptiedHalls(EmptiedHallsState const&, std::optional<Instant> provenAt);
     void handle(std::shared_ptr<Exchange> const&);
     void handleReady(Exchange&);
     std::variant<RoutedRequest, Refusal> route(HttpCall const&) const;
@@ -94,28 +94,28 @@
     bool areKeysFresh() const;
     bool isSettingsOverdue() const;
     Microseconds settingsAge() const;
-    bool applySettings(Result<RouteTable::Parts>&& parts, SettingsIntake::Arrival const&);
+    bool applySettings(Result<RouteTable::Parts>&& parts, SettingsLoader::PendingSettings const&);
     void applyColdBounds();
-    void settingsProven(Instant);
+    void confirmSettings(Instant);
     uint64_t settingsVersion() const { return m_table ? m_table->version() : 0; }
-    bool wantsState(StateSummary const&);
+    bool needsStateFrom(StateSummary const&);
     StateSummary summary() const;
     std::optional<Instant> provenAt() const;
-    void confirmed(Instant);
-    void noteUpstreams(std::string_view source, uint64_t hashBefore);
+    void confirmState(Instant);
+    void logUpstreamsIfChanged(std::string_view source, uint64_t hashBefore);
     // The source is for the log.
     void replaceUpstreams(std::string_view source, std::vector<UpstreamRecord> const& all, Instant provenAt, bool isAfterReturn = false);
     void applyChanges(std::string_view source, std::vector<UpstreamChange> const&, Instant provenAt);
     GatewayState state(StateSummary const& known) const;
-    void takeState(GatewayState const&, std::optional<Instant> provenAt);
-    void takeToldUpstreams(GatewayState const&, Instant provenAt);
-    void confirmTold(uint64_t settingsVersion, uint64_t upstreamsHash, Instant provenAt);
+    void mergeState(GatewayState const&, std::optional<Instant> provenAt);
+    void mergeUpstreams(GatewayState const&, Instant provenAt);
+    void confirmIfCurrent(uint64_t settingsVersion, uint64_t upstreamsHash, Instant provenAt);
     std::vector<UpstreamInFlight> ownInFlight() const;
-    void takeOthersInFlight(std::vector<UpstreamInFlight> const&, Microseconds age);
-    void noteAbsence(Microseconds stoodStill);
-    bool awaitsProof() const;
+    void setOthersInFlight(std::vector<UpstreamInFlight> const&, Microseconds age);
+    void handleStall(Microseconds stall);
+    bool needsRevalidation() const;
     void tick();
-    void noteReadiness();
+    void updateReadiness();
 
     EventLoop& m_loop;
     GatewayOptions m_options;
@@ -125,24 +125,24 @@
     Metrics m_metrics;
     std::shared_ptr<RouteTable const> m_table;
     // For other daemons.
-    SettingsHistory m_settings;
+    SettingsHistory m_settingsHistory;
     ProvenAge m_tableAge;
-    SettingsIntake m_intake;
+    SettingsLoader m_settingsLoader;
     // Reads after the one whose configuration is not in force yet: they prove it then.
-    std::optional<Instant> m_readWhileTaking;
-    uint64_t m_wantedSettings { 0 };
-    Instant m_wantedSince;
+    std::optional<Instant> m_confirmAfterLoad;
+    uint64_t m_announcedVersion { 0 };
+    Instant m_announcedSince;
     uint64_t m_settingsPosition { 0 };
     std::optional<Instant> m_storeIsAheadSince;
     // The fleet's from the moment at which it is known.
     FingerprintKey m_fingerprintKey;
     CrashSuspects m_suspects;
-    ServiceBoard m_board;
+    ServiceTable m_serviceTable;
     UpstreamDirectory m_directory;
     EmptiedHalls m_emptiedHalls;
     GatewayPeers m_peers;
     PortProbe m_portProbe;
-    CrashWatch m_crashes;
+    CrashDetector m_crashDetector;
     GatewayServices m_services;
     HttpServer m_server;
     HttpServer m_readyServer;
@@ -150,7 +150,7 @@
     Endpoint m_readyEndpoint;
     Endpoint m_peerEndpoint;
     Timer m_ticker;
-    AbsenceWatch m_absence;
+    StallDetector m_stallDetector;
     ServerDrain m_drain;
     bool m_wasReady { false };
     bool m_isDraining { false };
--- a/Services/stagepostd/GatewayOptions.h
+++ b/Services/stagepostd/GatewayOptions.h
@@ -24,7 +24,7 @@
     std::optional<Milliseconds> keyFreshness;
     // How long a newer configuration that another daemon tells of may take to be
     // read from the store, before it is taken from that daemon.
-    Milliseconds settingsPatience { 300 };
+    Milliseconds peerSettingsTimeout { 300 };
     // How long a stopping gateway takes requests, until the balancer has noticed.
     Milliseconds drainAccept { 3000 };
     // From the signal to stop until the process is ended from outside.
--- a/Services/stagepostd/GatewayPeers.cpp
+++ b/Services/stagepostd/GatewayPeers.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-    constexpr char const* peerField = "Stagepost-Peer";
+    constexpr char const* peerHeader = "Stagepost-Peer";
     // Followed by the version of the settings and the hash of the upstreams that the
     // asking daemon has.
-    std::string const requestWord = "state ";
+    std::string const stateRequestPrefix = "state ";
     // The state of 4,000 upstreams is 400 KB, which a link of 10 Mbit/s carries to
     // a relay's seven others in 2.3 s.
     constexpr Milliseconds fetchTimeout { 3000 };
@@ -19,15 +19,15 @@
     constexpr Milliseconds tickInterval { 50 };
     constexpr unsigned statusForbidden = 403;
     // In a larger fleet what a relay tells others takes all that a daemon may send.
-    constexpr size_t mostPeersOfAskingRelay = 128;
+    constexpr size_t maxPeersForRelayContextAsks = 128;
 
-    std::string requestFor(StateSummary const& known)
+    std::string formatStateRequest(StateSummary const& known)
     {
-        return requestWord + std::to_string(known.settingsVersion) + ' ' + std::to_string(known.upstreamsHash);
+        return stateRequestPrefix + std::to_string(known.settingsVersion) + ' ' + std::to_string(known.upstreamsHash);
     }
 
     // What is not understood counts as nothing, and all is answered.
-    StateSummary knownBy(std::string_view numbers)
+    StateSummary parseStateRequest(std::string_view numbers)
     {
         StateSummary known;
         auto const* const end = numbers.data() + numbers.size();
@@ -67,24 +67,24 @@
 
 Result<void> GatewayPeers::join(GatewayPeer const& self, std::string const& key, Incarnation incarnation)
 {
-    m_datagramSeal.emplace(key, self.id(), incarnation);
+    m_datagramAuthenticator.emplace(key, self.id(), incarnation);
     // Sequence numbers of the two kinds run apart, so their keys differ.
-    m_stateSeal.emplace(key + "/state", self.id(), incarnation);
-    m_channel = std::make_unique<PeerChannel>(m_loop, *m_datagramSeal, m_metrics, [this](PeerMessageKind kind, VMId from, Endpoint const& source, std::string_view body) { receive(kind, from, source, body); });
+    m_stateAuthenticator.emplace(key + "/state", self.id(), incarnation);
+    m_channel = std::make_unique<PeerChannel>(m_loop, *m_datagramAuthenticator, m_metrics, [this](PeerMessageKind kind, VMId from, Endpoint const& source, std::string_view body) { handleMessage(kind, from, source, body); });
     TRY(m_channel->bind(m_endpoint));
     FleetPeer const peer { self.id(), HallId::fromName(self.hall) };
-    m_exchange = std::make_unique<StateExchange>(peer, m_random(), m_bounds, exchangeHooks());
-    m_crashes = std::make_unique<CrashExchange>(peer, m_suspects, CrashExchange::Bounds {}, crashHooks());
+    m_stateExchange = std::make_unique<StateExchange>(peer, m_random(), m_bounds, exchangeHooks());
+    m_crashExchange = std::make_unique<CrashExchange>(peer, m_suspects, CrashExchange::Bounds {}, crashHooks());
     // One that joins again by another key has requests that wait for owners' answers.
-    if (!m_ledger)
-        m_ledger = std::make_unique<LedgerExchange>(peer, LedgerExchange::Bounds {}, ledgerHooks());
-    if (!m_holders)
-        m_holders = std::make_unique<HolderExchange>(peer, HolderExchange::Bounds {}, HolderExchange::Hooks { [this](VMId to, std::string const& body) { send(to, PeerMessageKind::Holders, body); } });
+    if (!m_ledgerExchange)
+        m_ledgerExchange = std::make_unique<LedgerExchange>(peer, LedgerExchange::Bounds {}, ledgerHooks());
+    if (!m_holderExchange)
+        m_holderExchange = std::make_unique<HolderExchange>(peer, HolderExchange::Bounds {}, HolderExchange::Hooks { [this](VMId to, std::string const& body) { send(to, PeerMessageKind::Holders, body); } });
     m_ticker.every(tickInterval, [this] {
-        m_exchange->tick(m_loop.now());
-        m_crashes->tick(m_loop.now());
-        m_ledger->tick(m_loop.now());
-        m_holders->tick(m_loop.now());
+        m_stateExchange->tick(m_loop.now());
+        m_crashExchange->tick(m_loop.now());
+        m_ledgerExchange->tick(m_loop.now());
+        m_holderExchange->tick(m_loop.now());
     });
     logEvent(LogLevel::Info, "joined", { { "name", self.name }, { "hall", self.hall }, { "peer_listen", m_endpoint.toString() }, { "incarnation", incarnation.value() } });
     return {};
@@ -95,7 +95,7 @@
     StateExchange::Hooks hooks;
     hooks.send = [this](VMId to, std::string const& body) { send(to, PeerMessageKind::State, body); };
     hooks.differs = [this](VMId from, StateSummary const& summary, std::optional<Instant> provenAt) {
-        if (m_hooks.wantsState(summary))
+        if (m_hooks.needsStateFrom(summary))
             fetch(from, provenAt);
     };
     hooks.beliefs = m_hooks.beliefs;
@@ -106,8 +106,8 @@
 {
     CrashExchange::Hooks hooks;
     hooks.send = [this](VMId to, std::string const& body) { send(to, PeerMessageKind::Crashes, body); };
-    hooks.relays = [this] { return m_exchange->relays(); };
-    hooks.askers = [this] { return m_exchange->askers(); };
+    hooks.relays = [this] { return m_stateExchange->relays(); };
+    hooks.askers = [this] { return m_stateExchange->askers(); };
     return hooks;
 }
 
@@ -124,92 +124,92 @@
 
 void GatewayPeers::chooseByOwners(LedgerExchange::Wish wish, LedgerExchange::Callback callback)
 {
-    if (m_exchange->isRelay() && m_exchange->peerCount() > mostPeersOfAskingRelay)
+    if (m_stateExchange->isRelay() && m_stateExchange->peerCount() > maxPeersForRelayContextAsks)
         wish.context.reset();
-    m_ledger->choose(std::move(wish), std::move(callback), m_loop.now());
-    awaitAnswers();
+    m_ledgerExchange->choose(std::move(wish), std::move(callback), m_loop.now());
+    scheduleAnswerTimeout();
 }
 
-void GatewayPeers::contextPlaced(uint64_t context, UpstreamId upstream, HolderExchange::Callback callback)
+void GatewayPeers::findContextHolders(uint64_t context, UpstreamId upstream, HolderExchange::Callback callback)
 {
-    m_holders->placed(context, upstream, std::move(callback), m_loop.now());
-    awaitAnswers();
+    m_holderExchange->placed(context, upstream, std::move(callback), m_loop.now());
+    scheduleAnswerTimeout();
 }
 
 // The ticker is too coarse for a request that waits.
-void GatewayPeers::awaitAnswers()
+void GatewayPeers::scheduleAnswerTimeout()
 {
-    auto due = m_ledger->nextTimeout();
-    if (auto const other = m_holders->nextTimeout())
+    auto due = m_ledgerExchange->nextTimeout();
+    if (auto const other = m_holderExchange->nextTimeout())
         due = std::min(due.value_or(*other), *other);
     if (!due)
         return;
     m_answersTimer.once(std::max<Microseconds>(Microseconds(0), *due - m_loop.now()), [this] {
-        m_ledger->tick(m_loop.now());
-        m_holders->tick(m_loop.now());
-        awaitAnswers();
+        m_ledgerExchange->tick(m_loop.now());
+        m_holderExchange->tick(m_loop.now());
+        scheduleAnswerTimeout();
     });
 }
 
-void GatewayPeers::requestBegan(UpstreamId upstream, HallId hall)
+void GatewayPeers::requestStarted(UpstreamId upstream, HallId hall)
 {
-    if (m_ledger)
-        m_ledger->began(upstream, hall, m_loop.now());
+    if (m_ledgerExchange)
+        m_ledgerExchange->began(upstream, hall, m_loop.now());
 }
 
 void GatewayPeers::requestEnded(UpstreamId upstream)
 {
-    if (m_ledger)
-        m_ledger->ended(upstream, m_loop.now());
+    if (m_ledgerExchange)
+        m_ledgerExchange->ended(upstream, m_loop.now());
 }
 
 void GatewayPeers::setPeers(std::vector<GatewayPeer> const& peers)
 {
     m_peers.clear();
-    m_newcomers.clear();
+    m_unregisteredPeers.clear();
     std::vector<FleetPeer> list;
     list.reserve(peers.size());
     for (auto const& peer : peers) {
         m_peers[peer.id()] = peer;
         list.push_back({ peer.id(), HallId::fromName(peer.hall) });
     }
-    if (!m_exchange)
+    if (!m_stateExchange)
         return;
-    m_exchange->setPeers(list);
-    m_crashes->setPeers(list, m_loop.now());
-    m_holders->setPeers(list, m_exchange->relays());
-    m_ledger->setPeers(std::move(list), m_exchange->relays(), m_loop.now());
-    m_metrics.setGauge("stagepost_daemons", static_cast<double>(m_exchange->peerCount() + 1));
-    logEvent(LogLevel::Info, "peers", { { "others", m_exchange->peerCount() }, { "relay", m_exchange->isRelay() ? 1 : 0 } });
+    m_stateExchange->setPeers(list);
+    m_crashExchange->setPeers(list, m_loop.now());
+    m_holderExchange->setPeers(list, m_stateExchange->relays());
+    m_ledgerExchange->setPeers(std::move(list), m_stateExchange->relays(), m_loop.now());
+    m_metrics.setGauge("stagepost_daemons", static_cast<double>(m_stateExchange->peerCount() + 1));
+    logEvent(LogLevel::Info, "peers", { { "others", m_stateExchange->peerCount() }, { "relay", m_stateExchange->isRelay() ? 1 : 0 } });
 }
 
-void GatewayPeers::proven(Instant now)
+void GatewayPeers::stateConfirmed(Instant now)
 {
-    if (m_exchange)
-        m_exchange->proven(now);
+    if (m_stateExchange)
+        m_stateExchange->proven(now);
 }
 
-void GatewayPeers::changed(Instant now)
+void GatewayPeers::stateChanged(Instant now)
 {
-    if (m_exchange)
-        m_exchange->changed(now);
+    if (m_stateExchange)
+        m_stateExchange->changed(now);
 }
 
-void GatewayPeers::crashSeen(RequestFingerprint request, Instant now)
+void GatewayPeers::shareCrashEvidence(RequestFingerprint request, Instant now)
 {
-    if (m_crashes)
-        m_crashes->seen(request, now);
+    if (m_crashExchange)
+        m_crashExchange->seen(request, now);
 }
 
-bool GatewayPeers::takeCrashes(VMId from, std::string_view body)
+bool GatewayPeers::handleCrashMessage(VMId from, std::string_view body)
 {
-    if (!m_crashes)
+    if (!m_crashExchange)
         return true;
-    auto const news = m_crashes->receive(from, body, m_loop.now());
-    if (!news)
+    auto const changedRequests = m_crashExchange->receive(from, body, m_loop.now());
+    if (!changedRequests)
         return false;
     auto const sender = m_peers.find(from);
-    for (auto const request : *news)
+    for (auto const request : *changedRequests)
         logEvent(LogLevel::Info, "crash-evidence", { { "request", hexOf(request.value()) }, { "source", "told" }, { "peer", sender == m_peers.end() ? "" : sender->second.name }, { "ends", m_suspects.endCount(request) }, { "guilty", m_suspects.isGuilty(request) ? 1 : 0 } });
     return true;
 }
@@ -224,24 +224,24 @@
 {
     if (auto const peer = m_peers.find(id); peer != m_peers.end())
         return &peer->second.endpoint;
-    auto const newcomer = m_newcomers.find(id);
-    return newcomer == m_newcomers.end() ? nullptr : &newcomer->second;
+    auto const unregistered = m_unregisteredPeers.find(id);
+    return unregistered == m_unregisteredPeers.end() ? nullptr : &unregistered->second;
 }
 
-void GatewayPeers::receive(PeerMessageKind kind, VMId from, Endpoint const& source, std::string_view body)
+void GatewayPeers::handleMessage(PeerMessageKind kind, VMId from, Endpoint const& source, std::string_view body)
 {
     if (!m_peers.contains(from))
-        m_newcomers.insert_or_assign(from, source);
+        m_unregisteredPeers.insert_or_assign(from, source);
     auto const isTaken = [&] {
         switch (kind) {
         case PeerMessageKind::State:
-            return m_exchange && m_exchange->receive(from, body, m_loop.now());
+            return m_stateExchange && m_stateExchange->receive(from, body, m_loop.now());
         case PeerMessageKind::Crashes:
-            return takeCrashes(from, body);
+            return handleCrashMessage(from, body);
         case PeerMessageKind::Ledger:
-            return m_ledger && m_ledger->receive(from, body, m_loop.now());
+            return m_ledgerExchange && m_ledgerExchange->receive(from, body, m_loop.now());
         case PeerMessageKind::Holders:
-            return m_holders && m_holders->receive(from, body, m_loop.now());
+            return m_holderExchange && m_holderExchange->receive(from, body, m_loop.now());
         default:
             return false;
         }
@@ -256,14 +256,14 @@
     if (m_isFetching || !endpoint)
         return;
     m_isFetching = true;
-    HttpCall call { "GET", statePath, { { peerField, hexOfBytes(m_stateSeal->seal(requestFor(m_hooks.beliefs.summary()))) } }, {} };
+    HttpCall call { "GET", statePath, { { peerHeader, hexOfBytes(m_stateAuthenticator->seal(formatStateRequest(m_hooks.beliefs.summary()))) } }, {} };
     m_client.fetch(*endpoint, std::move(call), fetchTimeout, [this, from, provenAt](Result<HttpReply> const& reply) {
         m_isFetching = false;
-        takeFetched(from, reply, provenAt);
+        handleFetchedState(from, reply, provenAt);
     });
 }
 
-void GatewayPeers::takeFetched(VMId from, Result<HttpReply> const& reply, std::optional<Instant> provenAt)
+void GatewayPeers::handleFetchedState(VMId from, Result<HttpReply> const& reply, std::optional<Instant> provenAt)
 {
     auto const refuse = [&](std::string const& reason) {
         m_metrics.count("stagepost_peer_states_total", "outcome=\"refused\"");
@@ -273,25 +273,25 @@
         return refuse(reply.error().message());
     if (reply->status != 200)
         return refuse("status " + std::to_string(reply->status));
-    auto const opened = m_stateSeal->open(reply->body);
+    auto const opened = m_stateAuthenticator->open(reply->body);
     if (!opened || opened->sender != from)
         return refuse("it is not sealed by that daemon");
     auto const state = GatewayState::decode(opened->body);
     if (!state)
         return refuse(state.error().message());
     m_metrics.count("stagepost_peer_states_total", "outcome=\"taken\"");
-    m_hooks.takeState(*state, provenAt);
+    m_hooks.mergeState(*state, provenAt);
 }
 
 HttpReply GatewayPeers::answerState(HttpCall const& call)
 {
-    if (!m_stateSeal || call.path() != statePath)
+    if (!m_stateAuthenticator || call.path() != statePath)
         return textReply(statusForbidden, "for daemons of this fleet only\n");
-    auto const opened = m_stateSeal->open(bytesOfHex(call.headers.find(peerField)));
-    if (!opened || !opened->body.starts_with(requestWord))
+    auto const opened = m_stateAuthenticator->open(bytesOfHex(call.headers.find(peerHeader)));
+    if (!opened || !opened->body.starts_with(stateRequestPrefix))
         return textReply(statusForbidden, "for daemons of this fleet only\n");
-    auto const known = knownBy(std::string_view(opened->body).substr(requestWord.size()));
-    return { 200, { { "Content-Type", "application/octet-stream" } }, m_stateSeal->seal(m_hooks.state(known).encode()) };
+    auto const known = parseStateRequest(std::string_view(opened->body).substr(stateRequestPrefix.size()));
+    return { 200, { { "Content-Type", "application/octet-stream" } }, m_stateAuthenticator->seal(m_hooks.state(known).encode()) };
 }
 
 }
--- a/Services/stagepostd/GatewayPeers.h
+++ b/Services/stagepostd/GatewayPeers.h
@@ -44,9 +44,9 @@
         std::function<GatewayState(StateSummary const& known)> state;
         // Another daemon believes something else. Whether its state is to be asked
         // for, or comes by another way.
-        std::function<bool(StateSummary const&)> wantsState;
+        std::function<bool(StateSummary const&)> needsStateFrom;
         // Another daemon's state, proven as of a time or not at all.
-        std::function<void(GatewayState const&, std::optional<Instant> provenAt)> takeState;
+        std::function<void(GatewayState const&, std::optional<Instant> provenAt)> mergeState;
         // What this daemon believes of an upstream by itself.
         InFlightLedger::Forecast forecast;
     };
@@ -63,47 +63,47 @@
     Result<void> join(GatewayPeer const& self, std::string const& key, Incarnation);
     void setPeers(std::vector<GatewayPeer> const&);
 
-    bool hasJoined() const { return m_exchange != nullptr; }
+    bool hasJoined() const { return m_stateExchange != nullptr; }
     // Without others every daemon reads the store.
-    bool needsStore(Instant now) const { return !m_exchange || m_exchange->needsStore(now); }
+    bool needsStore(Instant now) const { return !m_stateExchange || m_stateExchange->needsStore(now); }
     // Whether it reads the store for others, or there is nobody to read it for this one.
-    bool isReader() const { return !m_exchange || m_exchange->isReader(); }
-    bool isRelay() const { return !m_exchange || m_exchange->isRelay(); }
-    bool needsRegistry(Instant now) const { return !m_exchange || m_exchange->needsRegistry(now); }
+    bool isReader() const { return !m_stateExchange || m_stateExchange->isReader(); }
+    bool isRelay() const { return !m_stateExchange || m_stateExchange->isRelay(); }
+    bool needsRegistry(Instant now) const { return !m_stateExchange || m_stateExchange->needsRegistry(now); }
     // This daemon's part of the fleet, from 0 to 1.
-    double share() const { return m_exchange ? 1.0 / static_cast<double>(m_exchange->peerCount() + 1) : 0; }
-    void proven(Instant now);
-    void changed(Instant now);
+    double share() const { return m_stateExchange ? 1.0 / static_cast<double>(m_stateExchange->peerCount() + 1) : 0; }
+    void stateConfirmed(Instant now);
+    void stateChanged(Instant now);
     // This daemon has seen something about the request that others are to know.
-    void crashSeen(RequestFingerprint, Instant now);
+    void shareCrashEvidence(RequestFingerprint, Instant now);
 
     // Whether upstreams' owners can be asked.
-    bool canAskOwners() const { return m_ledger != nullptr; }
+    bool canAskOwners() const { return m_ledgerExchange != nullptr; }
     // As LedgerExchange has it.
     void chooseByOwners(LedgerExchange::Wish, LedgerExchange::Callback);
     // As HolderExchange has it.
-    void contextPlaced(uint64_t context, UpstreamId, HolderExchange::Callback);
-    void requestBegan(UpstreamId, HallId);
+    void findContextHolders(uint64_t context, UpstreamId, HolderExchange::Callback);
+    void requestStarted(UpstreamId, HallId);
     void requestEnded(UpstreamId);
-    size_t unansweredAsks() const { return m_ledger ? m_ledger->unansweredAsks() : 0; }
-    size_t exhaustedAsks() const { return m_ledger ? m_ledger->exhaustedAsks() : 0; }
+    size_t unansweredAsks() const { return m_ledgerExchange ? m_ledgerExchange->unansweredAsks() : 0; }
+    size_t exhaustedAsks() const { return m_ledgerExchange ? m_ledgerExchange->exhaustedAsks() : 0; }
 
     // Of messages to other daemons, since the start, without UDP's and IP's headers.
     uint64_t bytesSent() const { return m_channel ? m_channel->socket().bytesSent() : 0; }
-    size_t unreadableCounts() const { return m_exchange ? m_exchange->unreadableCounts() : 0; }
+    size_t unreadableCounts() const { return m_stateExchange ? m_stateExchange->unreadableCounts() : 0; }
     uint64_t messagesSent() const { return m_channel ? m_channel->socket().messagesSent() : 0; }
 
 private:
     StateExchange::Hooks exchangeHooks();
     CrashExchange::Hooks crashHooks();
     LedgerExchange::Hooks ledgerHooks();
-    void awaitAnswers();
-    bool takeCrashes(VMId from, std::string_view body);
-    void receive(PeerMessageKind, VMId from, Endpoint const& source, std::string_view body);
+    void scheduleAnswerTimeout();
+    bool handleCrashMessage(VMId from, std::string_view body);
+    void handleMessage(PeerMessageKind, VMId from, Endpoint const& source, std::string_view body);
     Endpoint const* endpointOf(VMId) const;
     void send(VMId to, PeerMessageKind, std::string const& body);
     void fetch(VMId from, std::optional<Instant> provenAt);
-    void takeFetched(VMId from, Result<HttpReply> const&, std::optional<Instant> provenAt);
+    void handleFetchedState(VMId from, Result<HttpReply> const&, std::optional<Instant> provenAt);
     HttpReply answerState(HttpCall const&);
 
     EventLoop& m_loop;
@@ -118,14 +118,14 @@
     std::map<VMId, GatewayPeer> m_peers;
     // Where daemons sent from that are not known to be registered yet: in a fleet that
     // starts at once, whoever registers late asks those before it.
-    std::map<VMId, Endpoint> m_newcomers;
-    std::optional<Authenticator> m_datagramSeal;
-    std::optional<Authenticator> m_stateSeal;
+    std::map<VMId, Endpoint> m_unregisteredPeers;
+    std::optional<Authenticator> m_datagramAuthenticator;
+    std::optional<Authenticator> m_stateAuthenticator;
     std::unique_ptr<PeerChannel> m_channel;
-    std::unique_ptr<StateExchange> m_exchange;
-    std::unique_ptr<CrashExchange> m_crashes;
-    std::unique_ptr<LedgerExchange> m_ledger;
-    std::unique_ptr<HolderExchange> m_holders;
+    std::unique_ptr<StateExchange> m_stateExchange;
+    std::unique_ptr<CrashExchange> m_crashExchange;
+    std::unique_ptr<LedgerExchange> m_ledgerExchange;
+    std::unique_ptr<HolderExchange> m_holderExchange;
     Timer m_ticker;
     // For answers of owners and homes that are overdue.
     Timer m_answersTimer;
--- a/Services/stagepostd/GatewayFlow.cpp
+++ b/Services/stagepostd/GatewayRequestHandler.cpp
@@ -1,4 +1,4 @@
-#include <stagepostd/GatewayFlow.h>
+#include <stagepostd/GatewayRequestHandler.h>
 
 #include <LibBase/Hex.h>
 #include <LibBase/Log.h>
@@ -13,7 +13,7 @@
     constexpr unsigned firstServerError = 500;
     // Answers up to this size are held until they are whole: an answer of a
     // service is a few kilobytes.
-    constexpr size_t heldAnswer = 64u << 10;
+    constexpr size_t maxHeldAnswerBytes = 64u << 10;
     // Of the connections that an upstream takes from the whole fleet, what may rest;
     // the others are for requests in flight, which no daemon counts for the rest.
     constexpr double idleConnectionsShare = 0.5;
@@ -50,31 +50,31 @@
 
 }
 
-GatewayFlow::GatewayFlow(GatewayServices const& services, std::shared_ptr<Exchange> exchange, RoutedRequest request)
+GatewayRequestHandler::GatewayRequestHandler(GatewayServices const& services, std::shared_ptr<Exchange> exchange, RoutedRequest request)
     : m_services(services)
     , m_exchange(std::move(exchange))
     , m_request(std::move(request))
-    , m_service(services.board.service(m_request.service))
+    , m_service(services.serviceTable.service(m_request.service))
     , m_attempts(termsOf(m_request), m_service.retries)
 {
     if (m_request.route->kind == RequestKind::Stream)
         m_progress = std::make_shared<EventProgress>();
 }
 
-void GatewayFlow::start()
+void GatewayRequestHandler::start()
 {
     auto const now = m_services.loop.now();
     m_service.retries.requested(now);
     auto const occupancy = m_service.placement.occupancy();
     if (m_service.gate.admits(occupancy, m_request.priority))
-        place();
+        placeRequest();
     else
         refuse({ RefusalReason::QueueFull, Verdict::NotRun, "the service has fewer places than requests", m_service.gate.timeToComeBack(occupancy) });
 }
 
-void GatewayFlow::place()
+void GatewayRequestHandler::placeRequest()
 {
-    if (!maySend())
+    if (!checkMaySend())
         return;
     auto const wish = this->wish();
     if (needsOwner(wish) && m_services.peers.canAskOwners())
@@ -83,13 +83,13 @@
         placeWithoutOwners(wish);
 }
 
-bool GatewayFlow::needsOwner(ServicePlacement::Wish const& wish) const
+bool GatewayRequestHandler::needsOwner(ServicePlacement::Wish const& wish) const
 {
     return wish.context || m_service.placement.hasCold(m_services.loop.now());
 }
 
 // Owners count what has a context; the others are counted only where one was asked.
-void GatewayFlow::placeWithoutOwners(ServicePlacement::Wish const& wish)
+void GatewayRequestHandler::placeWithoutOwners(ServicePlacement::Wish const& wish)
 {
     if (m_request.route->keepsContext)
         placeByOwnCounts(wish);
@@ -97,13 +97,13 @@
         send(m_service.placement.choose(wish, m_services.loop.now()));
 }
 
-bool GatewayFlow::maySend()
+bool GatewayRequestHandler::checkMaySend()
 {
     if (m_request.needsKey && !m_services.areKeysFresh()) {
         refuse({ RefusalReason::SettingsTooOld, m_attempts.verdict(), "the configuration is too old to tell whether the key is good", m_attempts.timeToComeBack() });
         return false;
     }
-    if (m_services.awaitsProof()) {
+    if (m_services.needsRevalidation()) {
         refuse({ RefusalReason::SettingsTooOld, m_attempts.verdict(), "this daemon stood still and has not learnt yet what has changed", m_attempts.timeToComeBack() });
         return false;
     }
@@ -112,14 +112,14 @@
         return false;
     }
     // Each try of a caller is a new request by its id: without this it would end another upstream.
-    if (m_services.crashes.hasSuspects() && m_services.crashes.isGuilty(fingerprint())) {
+    if (m_services.crashDetector.hasSuspects() && m_services.crashDetector.isGuilty(fingerprint())) {
         refuse({ RefusalReason::EndsUpstreams, Verdict::MayHaveRun, "upstreams have ended under this request: it goes to none any more", {} });
         return false;
     }
     return true;
 }
 
-ServicePlacement::Wish GatewayFlow::wish() const
+ServicePlacement::Wish GatewayRequestHandler::wish() const
 {
     ServicePlacement::Wish wish;
     if (m_request.route->keepsContext)
@@ -132,7 +132,7 @@
 
 // Counts that daemons tell one another are older than many requests: a whole fleet that goes
 // by them fills one upstream and then leaves it empty.
-void GatewayFlow::askOwners(ServicePlacement::Wish const& wish)
+void GatewayRequestHandler::askOwners(ServicePlacement::Wish const& wish)
 {
     auto candidates = m_service.placement.candidatesForOwners(wish, m_services.loop.now());
     if (candidates.empty()) {
@@ -140,14 +140,14 @@
         return;
     }
     m_services.peers.chooseByOwners({ wish.context, std::move(candidates) }, [self = shared_from_this()](LedgerExchange::Outcome const& outcome) {
-        self->takeOwnersWord(outcome);
+        self->handleOwnerReply(outcome);
     });
 }
 
-void GatewayFlow::takeOwnersWord(LedgerExchange::Outcome const& outcome)
+void GatewayRequestHandler::handleOwnerReply(LedgerExchange::Outcome const& outcome)
 {
-    m_countedAt = outcome.upstream;
-    if (isOverMeanwhile())
+    m_countedUpstream = outcome.upstream;
+    if (endedWhileWaiting())
         return;
     auto wish = this->wish();
     auto const choice = m_service.placement.chosenByOwners(wish, outcome, m_services.loop.now());
@@ -159,9 +159,9 @@
         send(choice);
         return;
     }
-    noteNotInFlight();
+    releaseInFlight();
     if (outcome.isFull) {
-        refuse(fullByBound());
+        refuse(loadBoundRefusal());
         return;
     }
     wish.avoided = outcome.exhausted;
@@ -169,16 +169,16 @@
 }
 
 // The upstream would read the context anew, which takes longer than to ask who holds it.
-void GatewayFlow::findHolders(uint64_t context, ServicePlacement::Choice const& choice)
+void GatewayRequestHandler::findHolders(uint64_t context, ServicePlacement::Choice const& choice)
 {
-    m_services.peers.contextPlaced(context, choice.upstream, [self = shared_from_this(), choice](std::vector<UpstreamId> const& holders) {
-        self->sendFromHolders(choice, holders);
+    m_services.peers.findContextHolders(context, choice.upstream, [self = shared_from_this(), choice](std::vector<UpstreamId> const& holders) {
+        self->sendWithContextSource(choice, holders);
     });
 }
 
-void GatewayFlow::sendFromHolders(ServicePlacement::Choice choice, std::vector<UpstreamId> const& holders)
+void GatewayRequestHandler::sendWithContextSource(ServicePlacement::Choice choice, std::vector<UpstreamId> const& holders)
 {
-    if (isOverMeanwhile())
+    if (endedWhileWaiting())
         return;
     auto const source = m_service.placement.sourceAmong(holders, choice.upstream, m_services.loop.now());
     if (source)
@@ -187,55 +187,55 @@
 }
 
 // Some milliseconds have passed, in which all that allows a send may have changed.
-bool GatewayFlow::isOverMeanwhile()
+bool GatewayRequestHandler::endedWhileWaiting()
 {
     if (m_exchange->isCallerGone()) {
-        noteNotInFlight();
+        releaseInFlight();
         m_services.metrics.countRefusal({ RefusalReason::CallerGone, m_attempts.verdict(), "the caller left before its request was sent", {} });
         log("caller-gone", {}, nameOf(RefusalReason::CallerGone), m_attempts.verdict());
         return true;
     }
-    if (!maySend()) {
-        noteNotInFlight();
+    if (!checkMaySend()) {
+        releaseInFlight();
         return true;
     }
     return false;
 }
 
-void GatewayFlow::noteNotInFlight()
+void GatewayRequestHandler::releaseInFlight()
 {
-    if (m_countedAt)
-        m_services.peers.requestEnded(*std::exchange(m_countedAt, {}));
+    if (m_countedUpstream)
+        m_services.peers.requestEnded(*std::exchange(m_countedUpstream, {}));
 }
 
 // No owner can be reached, or the upstream has gone since: by what this daemon knows itself.
-void GatewayFlow::placeByOwnCounts(ServicePlacement::Wish const& wish)
+void GatewayRequestHandler::placeByOwnCounts(ServicePlacement::Wish const& wish)
 {
     auto const choice = m_service.placement.choose(wish, m_services.loop.now());
-    auto const* target = choice ? m_services.board.target(choice->upstream) : nullptr;
+    auto const* target = choice ? m_services.serviceTable.target(choice->upstream) : nullptr;
     if (target) {
-        m_services.peers.requestBegan(choice->upstream, target->hall);
-        m_countedAt = choice->upstream;
+        m_services.peers.requestStarted(choice->upstream, target->hall);
+        m_countedUpstream = choice->upstream;
     }
     send(choice);
 }
 
-void GatewayFlow::send(std::optional<ServicePlacement::Choice> const& choice)
+void GatewayRequestHandler::send(std::optional<ServicePlacement::Choice> const& choice)
 {
-    auto const* target = choice ? m_services.board.target(choice->upstream) : nullptr;
+    auto const* target = choice ? m_services.serviceTable.target(choice->upstream) : nullptr;
     if (target)
         return forward(*choice, *target);
-    noteNotInFlight();
-    refuse(m_lastFailure.value_or(noUpstream()));
+    releaseInFlight();
+    refuse(m_lastFailure.value_or(noUpstreamRefusal()));
 }
 
-Refusal GatewayFlow::fullByBound() const
+Refusal GatewayRequestHandler::loadBoundRefusal() const
 {
     auto const pause = m_service.gate.timeToComeBack(m_service.placement.occupancy());
     return { RefusalReason::QueueFull, m_attempts.verdict(), "the few upstreams that take requests hold what the load multiple allows", pause };
 }
 
-Refusal GatewayFlow::noUpstream() const
+Refusal GatewayRequestHandler::noUpstreamRefusal() const
 {
     if (m_service.placement.hasCold(m_services.loop.now()))
         return { RefusalReason::QueueFull, m_attempts.verdict(), "the upstreams that are left have just started and take no more by now", std::chrono::duration_cast<Milliseconds>(coldWindow) };
@@ -245,14 +245,14 @@
 }
 
 // To each upstream of the service.
-size_t GatewayFlow::mostIdleConnections(Service const* service) const
+size_t GatewayRequestHandler::idleConnectionLimit(Service const* service) const
 {
     if (!service || !service->mostConnections)
         return std::numeric_limits<size_t>::max();
     return static_cast<size_t>(idleConnectionsShare * m_services.share() * static_cast<double>(service->mostConnections));
 }
 
-GatewaySend GatewayFlow::sendTo(ServicePlacement::Choice const& choice, ServiceBoard::Target const& target, Service const* service, Instant now)
+GatewaySend GatewayRequestHandler::buildSend(ServicePlacement::Choice const& choice, ServiceTable::Target const& target, Service const* service, Instant now)
 {
     GatewaySend send;
     send.instance = target.instance;
@@ -260,20 +260,20 @@
     send.priority = m_request.priority;
     send.timeLeft = m_attempts.timeLeft(now);
     send.lastEvent = m_progress && m_progress->lastId ? m_progress->lastId : m_request.call.lastEvent;
-    auto const* source = choice.contextSource ? m_services.board.target(*choice.contextSource) : nullptr;
+    auto const* source = choice.contextSource ? m_services.serviceTable.target(*choice.contextSource) : nullptr;
     if (service && service->movesContexts && source)
         send.contextSource = source->endpoint.toString();
     m_contextSource = send.contextSource ? source->instance : std::string();
     return send;
 }
 
-ForwardPlan GatewayFlow::planFor(ServicePlacement::Choice const& choice, ServiceBoard::Target const& target, Instant now)
+ForwardPlan GatewayRequestHandler::buildForwardPlan(ServicePlacement::Choice const& choice, ServiceTable::Target const& target, Instant now)
 {
     auto const patience = m_attempts.patience(sizeForRetry(now), m_service.placement.usualWaits(m_request.call.prompt.tokens()), now);
     auto const* service = m_request.table->service(m_request.service);
     ForwardPlan plan;
     plan.upstream = target.endpoint;
-    plan.call = m_services.dialect.writeCall(m_exchange->call(), sendTo(choice, target, service, now));
+    plan.call = m_services.dialect.writeCall(m_exchange->call(), buildSend(choice, target, service, now));
     plan.idField = m_services.dialect.idField;
     plan.id = m_request.call.id;
     plan.keepsHost = true;
@@ -281,75 +281,75 @@
     plan.answerTimeout = patience.firstByte;
     plan.idleTimeout = patience.betweenParts;
     plan.freshConnection = m_attempts.needsFreshConnection(choice);
-    plan.mostIdleConnections = std::min(plan.mostIdleConnections, mostIdleConnections(service));
-    plan.holdBytes = heldAnswer;
+    plan.mostIdleConnections = std::min(plan.mostIdleConnections, idleConnectionLimit(service));
+    plan.holdBytes = maxHeldAnswerBytes;
     plan.progress = m_progress;
     plan.endsWithErrorEvent = false;
     plan.limit = m_attempts.limit();
     return plan;
 }
 
-void GatewayFlow::forward(ServicePlacement::Choice const& choice, ServiceBoard::Target const& target)
+void GatewayRequestHandler::forward(ServicePlacement::Choice const& choice, ServiceTable::Target const& target)
 {
     auto const upstream = choice.upstream;
     auto const now = m_services.loop.now();
     m_attempts.sent();
-    auto plan = planFor(choice, target, now);
+    auto plan = buildForwardPlan(choice, target, now);
     plan.judge = [weak = weak_from_this(), upstream](unsigned status, HttpFields const& headers) -> std::optional<HeadRejection> {
-        auto const flow = weak.lock();
-        return flow ? flow->judge(upstream, status, headers) : std::nullopt;
+        auto const handler = weak.lock();
+        return handler ? handler->checkAnswerHead(upstream, status, headers) : std::nullopt;
     };
     plan.heard = [weak = weak_from_this(), upstream](UpstreamSign sign) {
-        if (auto const flow = weak.lock())
-            flow->noteSign(upstream, sign);
+        if (auto const handler = weak.lock())
+            handler->recordSign(upstream, sign);
     };
     // The budget that would have allowed another try may be spent by now.
     plan.waitsOn = [weak = weak_from_this()] {
-        auto const flow = weak.lock();
-        return flow && !flow->couldSendAgain();
+        auto const handler = weak.lock();
+        return handler && !handler->couldSendAgain();
     };
     m_instance = target.instance;
     m_placement = choice.reason;
     m_restLeft = m_service.placement.restLeft(upstream, now);
     m_sentAt = now;
-    m_heardAt = now;
+    m_lastSignAt = now;
     m_service.placement.started(upstream);
-    m_services.board.silence().sent(upstream, target.hall, now);
+    m_services.serviceTable.silence().sent(upstream, target.hall, now);
     m_exchange->forward(std::move(plan), [self = shared_from_this(), upstream](ForwardResult const& result) {
-        self->forwarded(upstream, result);
+        self->handleForwardResult(upstream, result);
     });
 }
 
-void GatewayFlow::noteSign(UpstreamId upstream, UpstreamSign sign)
+void GatewayRequestHandler::recordSign(UpstreamId upstream, UpstreamSign sign)
 {
     auto const now = m_services.loop.now();
-    auto& silence = m_services.board.silence();
+    auto& silence = m_services.serviceTable.silence();
     switch (sign) {
     case UpstreamSign::Connected:
         silence.connected(upstream, now);
         break;
     case UpstreamSign::AnswerBegan:
-        silence.answerBegan(upstream, now - m_heardAt, now);
+        silence.answerBegan(upstream, now - m_lastSignAt, now);
         break;
     case UpstreamSign::AnswerWentOn:
-        silence.answerWentOn(upstream, now - m_heardAt, now);
+        silence.answerWentOn(upstream, now - m_lastSignAt, now);
         break;
     }
-    m_heardAt = now;
+    m_lastSignAt = now;
 }
 
-std::optional<HeadRejection> GatewayFlow::judge(UpstreamId upstream, unsigned status, HttpFields const& headers)
+std::optional<HeadRejection> GatewayRequestHandler::checkAnswerHead(UpstreamId upstream, unsigned status, HttpFields const& headers)
 {
     auto const now = m_services.loop.now();
     auto const head = m_services.dialect.readAnswerHead(status, headers);
     if (head.load)
         m_service.placement.reported(upstream, *head.load, now);
     if (head.coldLeft)
-        m_services.board.noteCold(upstream, *head.coldLeft, now);
+        m_services.serviceTable.markCold(upstream, *head.coldLeft, now);
     if (head.restFor)
-        noteRest(upstream, *head.restFor);
+        handleRestRequest(upstream, *head.restFor);
     if (head.isLeaving)
-        m_services.board.noteLeaving(upstream, now);
+        m_services.serviceTable.markLeaving(upstream, now);
     if (head.isNotRun)
         return HeadRejection { RefusalReason::OverCapacity, Verdict::NotRun, "the upstream has not run the request" };
     if (status >= 200 && status < 300 && !head.isSigned)
@@ -363,25 +363,25 @@
     return {};
 }
 
-size_t GatewayFlow::sizeForRetry(Instant now) const
+size_t GatewayRequestHandler::sizeForRetry(Instant now) const
 {
     return m_service.placement.sizeForRetry(m_attempts.failedUpstreams(), now);
 }
 
-bool GatewayFlow::couldSendAgain() const
+bool GatewayRequestHandler::couldSendAgain() const
 {
     auto const now = m_services.loop.now();
     return m_attempts.couldSendAgain(sizeForRetry(now), now);
 }
 
-void GatewayFlow::noteRest(UpstreamId upstream, Milliseconds duration)
+void GatewayRequestHandler::handleRestRequest(UpstreamId upstream, Milliseconds duration)
 {
     m_service.placement.askedForRest(upstream, duration, m_services.loop.now());
     m_services.metrics.count("stagepost_upstream_rests_total", "service=\"" + m_request.service + '"');
     logEvent(LogLevel::Info, "upstream-rests", { { "instance", m_instance }, { "service", m_request.service }, { "id", m_request.call.id }, { "rest_ms", duration.count() } });
 }
 
-void GatewayFlow::noteOutcome(UpstreamId upstream, ForwardResult const& result)
+void GatewayRequestHandler::recordOutcome(UpstreamId upstream, ForwardResult const& result)
 {
     auto const now = m_services.loop.now();
     auto const outcome = [&] {
@@ -396,35 +396,35 @@
         return result.verdict == Verdict::Ran ? SendOutcome::Failed : SendOutcome::Broke;
     }();
     if (outcome == SendOutcome::Unreachable)
-        m_services.board.silence().unreached(upstream);
+        m_services.serviceTable.silence().unreached(upstream);
     // The time to the head tells of the upstream; a stream's whole time tells of
     // the answer's length.
     m_service.placement.finished(upstream, outcome, result.firstByteAfter, now - m_sentAt, now);
-    noteNotInFlight();
-    m_services.board.silence().ended(upstream, now);
+    releaseInFlight();
+    m_services.serviceTable.silence().ended(upstream, now);
 }
 
-void GatewayFlow::noteBroken(UpstreamId upstream)
+void GatewayRequestHandler::reportBrokenAnswer(UpstreamId upstream)
 {
-    auto const* target = m_services.board.target(upstream);
+    auto const* target = m_services.serviceTable.target(upstream);
     if (target)
-        m_services.crashes.brokeOff({ fingerprint(), upstream, target->instance, target->endpoint });
+        m_services.crashDetector.requestBroken({ fingerprint(), upstream, target->instance, target->endpoint });
 }
 
-void GatewayFlow::forwarded(UpstreamId upstream, ForwardResult const& result)
+void GatewayRequestHandler::handleForwardResult(UpstreamId upstream, ForwardResult const& result)
 {
-    noteOutcome(upstream, result);
+    recordOutcome(upstream, result);
     if (!result.failure) {
         m_service.placement.began(m_request.call.prompt.tokens(), result.firstByteAfter);
         m_attempts.answered();
-        if (m_services.crashes.hasSuspects() && result.status < firstServerError)
-            m_services.crashes.answered(fingerprint());
+        if (m_services.crashDetector.hasSuspects() && result.status < firstServerError)
+            m_services.crashDetector.requestAnswered(fingerprint());
         m_services.metrics.count("stagepost_answers_total");
         log("answered", result, "none", m_attempts.verdict());
         return;
     }
     if (result.failure == RefusalReason::UpstreamBroken && result.verdict == Verdict::MayHaveRun)
-        noteBroken(upstream);
+        reportBrokenAnswer(upstream);
     FailedAttempt attempt;
     attempt.verdict = result.verdict;
     attempt.isUnconnected = isUnconnected(result);
@@ -435,13 +435,13 @@
         log("sent-again", result, nameOf(*result.failure), m_attempts.verdict());
         m_services.metrics.countRetry(nameOf(*result.failure));
         m_lastFailure = Refusal { *result.failure, m_attempts.verdict(), result.detail, m_attempts.timeToComeBack() };
-        place();
+        placeRequest();
         return;
     }
-    giveUp(result);
+    failRequest(result);
 }
 
-void GatewayFlow::giveUp(ForwardResult const& result)
+void GatewayRequestHandler::failRequest(ForwardResult const& result)
 {
     bool const isCallerGone = isCallerLost(result);
     if (!isCallerGone && !result.answerStarted) {
@@ -453,7 +453,7 @@
     m_exchange->abandon();
 }
 
-void GatewayFlow::refuse(Refusal const& refusal)
+void GatewayRequestHandler::refuse(Refusal const& refusal)
 {
     m_services.metrics.countRefusal(refusal);
     ForwardResult none;
@@ -468,7 +468,7 @@
     m_exchange->respond(gatewayReply(refusal));
 }
 
-RequestFingerprint GatewayFlow::fingerprint() const
+RequestFingerprint GatewayRequestHandler::fingerprint() const
 {
     auto const& call = m_exchange->call();
     if (!m_fingerprint)
@@ -476,7 +476,7 @@
     return *m_fingerprint;
 }
 
-void GatewayFlow::log(std::string_view outcome, ForwardResult const& result, std::string_view reason, Verdict verdict) const
+void GatewayRequestHandler::log(std::string_view outcome, ForwardResult const& result, std::string_view reason, Verdict verdict) const
 {
     auto const now = m_services.loop.now();
     logRequest(
--- a/Services/stagepostd/GatewayFlow.h
+++ b/Services/stagepostd/GatewayRequestHandler.h
@@ -8,10 +8,10 @@
 #include <LibRouting/RequestAttempts.h>
 #include <LibSettings/RouteTable.h>
 #include <memory>
-#include <stagepostd/CrashWatch.h>
+#include <stagepostd/CrashDetector.h>
 #include <stagepostd/GatewayDialect.h>
 #include <stagepostd/GatewayPeers.h>
-#include <stagepostd/ServiceBoard.h>
+#include <stagepostd/ServiceTable.h>
 
 namespace Stagepost {
 
@@ -19,14 +19,14 @@
 struct GatewayServices {
     EventLoop& loop;
     Metrics& metrics;
-    ServiceBoard& board;
-    CrashWatch& crashes;
+    ServiceTable& serviceTable;
+    CrashDetector& crashDetector;
     GatewayPeers& peers;
     GatewayDialect const& dialect;
     // Whether keys may still be taken for good by the configuration in force.
     std::function<bool()> areKeysFresh;
     // Whether the daemon stood still for so long that nothing it believes may be acted on yet.
-    std::function<bool()> awaitsProof;
+    std::function<bool()> needsRevalidation;
     // The proven age of the configuration, for the log.
     std::function<Microseconds()> settingsAge;
     // This daemon's part of the fleet, from 0 to 1.
@@ -49,45 +49,45 @@
 
 // One request on its way: an upstream is chosen, the request goes there, and
 // what fails is sent to another one where that does no harm.
-class GatewayFlow : public std::enable_shared_from_this<GatewayFlow> {
+class GatewayRequestHandler : public std::enable_shared_from_this<GatewayRequestHandler> {
 public:
-    GatewayFlow(GatewayServices const&, std::shared_ptr<Exchange>, RoutedRequest);
+    GatewayRequestHandler(GatewayServices const&, std::shared_ptr<Exchange>, RoutedRequest);
 
     void start();
 
 private:
-    void place();
+    void placeRequest();
     // Whether nothing has come in the way of a send.
-    bool maySend();
+    bool checkMaySend();
     ServicePlacement::Wish wish() const;
     bool needsOwner(ServicePlacement::Wish const&) const;
     void askOwners(ServicePlacement::Wish const&);
-    void takeOwnersWord(LedgerExchange::Outcome const&);
+    void handleOwnerReply(LedgerExchange::Outcome const&);
     void findHolders(uint64_t context, ServicePlacement::Choice const&);
-    void sendFromHolders(ServicePlacement::Choice, std::vector<UpstreamId> const& holders);
-    bool isOverMeanwhile();
+    void sendWithContextSource(ServicePlacement::Choice, std::vector<UpstreamId> const& holders);
+    bool endedWhileWaiting();
     // It has ended, or was not sent after all.
-    void noteNotInFlight();
+    void releaseInFlight();
     void placeWithoutOwners(ServicePlacement::Wish const&);
     void placeByOwnCounts(ServicePlacement::Wish const&);
-    Refusal noUpstream() const;
-    Refusal fullByBound() const;
+    Refusal noUpstreamRefusal() const;
+    Refusal loadBoundRefusal() const;
     void send(std::optional<ServicePlacement::Choice> const&);
-    size_t mostIdleConnections(Service const*) const;
-    GatewaySend sendTo(ServicePlacement::Choice const&, ServiceBoard::Target const&, Service const*, Instant now);
-    ForwardPlan planFor(ServicePlacement::Choice const&, ServiceBoard::Target const&, Instant now);
-    void forward(ServicePlacement::Choice const&, ServiceBoard::Target const&);
-    void noteSign(UpstreamId, UpstreamSign);
-    std::optional<HeadRejection> judge(UpstreamId, unsigned status, HttpFields const&);
+    size_t idleConnectionLimit(Service const*) const;
+    GatewaySend buildSend(ServicePlacement::Choice const&, ServiceTable::Target const&, Service const*, Instant now);
+    ForwardPlan buildForwardPlan(ServicePlacement::Choice const&, ServiceTable::Target const&, Instant now);
+    void forward(ServicePlacement::Choice const&, ServiceTable::Target const&);
+    void recordSign(UpstreamId, UpstreamSign);
+    std::optional<HeadRejection> checkAnswerHead(UpstreamId, unsigned status, HttpFields const&);
     // The upstream that the request was sent to wants nothing for so long.
-    void noteRest(UpstreamId, Milliseconds);
+    void handleRestRequest(UpstreamId, Milliseconds);
     size_t sizeForRetry(Instant now) const;
     bool couldSendAgain() const;
-    void forwarded(UpstreamId, ForwardResult const&);
-    void noteOutcome(UpstreamId, ForwardResult const&);
+    void handleForwardResult(UpstreamId, ForwardResult const&);
+    void recordOutcome(UpstreamId, ForwardResult const&);
     // Of an answer that broke off.
-    void noteBroken(UpstreamId);
-    void giveUp(ForwardResult const&);
+    void reportBrokenAnswer(UpstreamId);
+    void failRequest(ForwardResult const&);
     void refuse(Refusal const&);
     RequestFingerprint fingerprint() const;
     // The verdict is the one that the caller is told, or would be.
@@ -96,7 +96,7 @@
     GatewayServices const& m_services;
     std::shared_ptr<Exchange> m_exchange;
     RoutedRequest m_request;
-    ServiceBoard::Entry& m_service;
+    ServiceTable::Entry& m_service;
     RequestAttempts m_attempts;
     std::shared_ptr<EventProgress> m_progress;
     std::string m_instance;
@@ -106,11 +106,11 @@
     // What was left, at the send, of the time for which the upstream wanted nothing.
     Microseconds m_restLeft { 0 };
     // Where the upstream's owner counts it as in flight.
-    std::optional<UpstreamId> m_countedAt;
+    std::optional<UpstreamId> m_countedUpstream;
     // When the request was sent last.
     Instant m_sentAt;
     // The same, or the upstream last heard since.
-    Instant m_heardAt;
+    Instant m_lastSignAt;
     std::optional<Refusal> m_lastFailure;
     // Once it was needed: few requests fail.
     mutable std::optional<RequestFingerprint> m_fingerprint;
--- a/Services/stagepostd/GatewayState.h
+++ b/Services/stagepostd/GatewayState.h
@@ -11,7 +11,7 @@
 
 // All that a gateway believes of the platform, as one gives it to another.
 struct GatewayState {
-    ToldSettings settings;
+    SettingsUpdate settings;
     // Of the upstreams.
     uint64_t upstreamsHash { 0 };
     // None where the other has a list of that hash already.
--- a/Services/stagepostd/ServiceBoard.cpp
+++ b/Services/stagepostd/ServiceTable.cpp
@@ -1,4 +1,4 @@
-#include <stagepostd/ServiceBoard.h>
+#include <stagepostd/ServiceTable.h>
 
 #include <LibBase/Log.h>
 
@@ -8,11 +8,11 @@
 
     // How long it is kept that an upstream leaves which is gone by its record: that may have lapsed
     // while the store was away, and come back.
-    constexpr Seconds leavingMemory { 600 };
+    constexpr Seconds leavingRetention { 600 };
 
 }
 
-ServiceBoard::Entry& ServiceBoard::service(std::string const& name)
+ServiceTable::Entry& ServiceTable::service(std::string const& name)
 {
     auto& entry = m_services[name];
     if (!entry) {
@@ -22,14 +22,14 @@
     return *entry;
 }
 
-void ServiceBoard::setRetryShare(double share)
+void ServiceTable::setRetryShare(double share)
 {
     m_retryShare = share;
     for (auto const& [name, entry] : m_services)
         entry->retries.setShare(share);
 }
 
-void ServiceBoard::apply(UpstreamChange const& change, Instant now)
+void ServiceTable::apply(UpstreamChange const& change, Instant now)
 {
     if (!change.record) {
         remove(change.instance);
@@ -42,18 +42,18 @@
         remove(record.instance);
         return;
     }
-    removeOthers(record);
+    removeReplaced(record);
     auto const id = record.id();
     auto const hall = HallId::fromName(record.hall);
-    m_ids[record.instance] = id;
+    m_currentIds[record.instance] = id;
     auto const& target = m_targets[id] = { record.instance, std::move(*endpoint), record.service, hall, record.slots, record.isLeaving };
-    place(id, target);
-    noteColdRecord(record, now);
+    updatePlacement(id, target);
+    applyColdTime(record, now);
 }
 
 // A record that is told on its way through daemons is older than it says: an upstream is
 // taken for cold a little longer than it is.
-void ServiceBoard::noteColdRecord(UpstreamRecord const& record, Instant now)
+void ServiceTable::applyColdTime(UpstreamRecord const& record, Instant now)
 {
     auto const until = record.coldLeft.count() ? std::optional(now + record.coldLeft) : std::nullopt;
     service(record.service).placement.noteCold(record.id(), until);
@@ -61,29 +61,29 @@
         logEvent(LogLevel::Info, "upstream-cold", { { "instance", record.instance }, { "left_ms", record.coldLeft.count() } });
 }
 
-void ServiceBoard::noteCold(UpstreamId id, Milliseconds left, Instant now)
+void ServiceTable::markCold(UpstreamId id, Milliseconds left, Instant now)
 {
     if (auto const* target = this->target(id); target && left.count())
         service(target->service).placement.noteCold(id, now + left);
 }
 
-void ServiceBoard::noteLeaving(UpstreamId id, Instant now)
+void ServiceTable::markLeaving(UpstreamId id, Instant now)
 {
     auto const* target = this->target(id);
-    if (!target || !m_saidLeaving.emplace(id, now).second)
+    if (!target || !m_announcedLeaving.emplace(id, now).second)
         return;
     logEvent(LogLevel::Info, "upstream-says-it-leaves", { { "instance", target->instance }, { "service", target->service } });
-    place(id, *target);
-    std::erase_if(m_saidLeaving, [&](auto const& said) { return now - said.second > leavingMemory && !m_targets.contains(said.first); });
+    updatePlacement(id, *target);
+    std::erase_if(m_announcedLeaving, [&](auto const& announced) { return now - announced.second > leavingRetention && !m_targets.contains(announced.first); });
 }
 
-void ServiceBoard::place(UpstreamId id, Target const& target)
+void ServiceTable::updatePlacement(UpstreamId id, Target const& target)
 {
-    bool const getsNothing = target.isLeaving || m_saidLeaving.contains(id) || m_emptiedHalls.contains(target.hall);
-    service(target.service).placement.putUpstream({ id, target.hall == HallId::fromName(m_bounds.hall), target.slots, getsNothing, target.hall });
+    bool const isExcluded = target.isLeaving || m_announcedLeaving.contains(id) || m_emptiedHalls.contains(target.hall);
+    service(target.service).placement.putUpstream({ id, target.hall == HallId::fromName(m_bounds.hall), target.slots, isExcluded, target.hall });
 }
 
-void ServiceBoard::setEmptied(HallId hall, bool isEmptied, Instant now)
+void ServiceTable::setHallEmptied(HallId hall, bool isEmptied, Instant now)
 {
     if (isEmptied)
         m_emptiedHalls.insert(hall);
@@ -92,17 +92,17 @@
     for (auto const& [id, target] : m_targets) {
         if (target.hall != hall)
             continue;
-        place(id, target);
+        updatePlacement(id, target);
         if (!isEmptied)
             service(target.service).placement.noteStarted(id, now);
     }
 }
 
 // An earlier start of the same upstream, or the same one in another service.
-void ServiceBoard::removeOthers(UpstreamRecord const& record)
+void ServiceTable::removeReplaced(UpstreamRecord const& record)
 {
-    auto const known = m_ids.find(record.instance);
-    if (known == m_ids.end())
+    auto const known = m_currentIds.find(record.instance);
+    if (known == m_currentIds.end())
         return;
     if (known->second != record.id())
         logEvent(LogLevel::Info, "upstream-restarted", { { "instance", record.instance }, { "address", record.address }, { "incarnation", record.incarnation.value() } });
@@ -110,25 +110,25 @@
         remove(record.instance);
 }
 
-void ServiceBoard::remove(std::string const& instance)
+void ServiceTable::remove(std::string const& instance)
 {
-    auto const known = m_ids.find(instance);
-    if (known == m_ids.end())
+    auto const known = m_currentIds.find(instance);
+    if (known == m_currentIds.end())
         return;
     auto const target = m_targets.extract(known->second);
-    m_ids.erase(known);
+    m_currentIds.erase(known);
     service(target.mapped().service).placement.removeUpstream(target.key());
     m_silence.forget(target.key());
-    m_dropped(target.mapped().endpoint);
+    m_upstreamRemoved(target.mapped().endpoint);
 }
 
-std::optional<UpstreamId> ServiceBoard::idOf(std::string const& instance) const
+std::optional<UpstreamId> ServiceTable::currentId(std::string const& instance) const
 {
-    auto const found = m_ids.find(instance);
-    return found == m_ids.end() ? std::nullopt : std::optional(found->second);
+    auto const found = m_currentIds.find(instance);
+    return found == m_currentIds.end() ? std::nullopt : std::optional(found->second);
 }
 
-ServiceBoard::Target const* ServiceBoard::target(UpstreamId id) const
+ServiceTable::Target const* ServiceTable::target(UpstreamId id) const
 {
     auto const found = m_targets.find(id);
     return found == m_targets.end() ? nullptr : &found->second;
--- a/Services/stagepostd/ServiceBoard.h
+++ b/Services/stagepostd/ServiceTable.h
@@ -13,7 +13,7 @@
 
 // The services of a gateway: for each, who its upstreams are, how they do, and
 // what may be spent on retries.
-class ServiceBoard {
+class ServiceTable {
 public:
     struct Bounds {
         std::string hall;
@@ -29,7 +29,7 @@
 
     // Called where an upstream's process is gone or was replaced: connections to it that
     // rest are of no use to what is there now.
-    using Dropped = std::function<void(Endpoint const&)>;
+    using UpstreamRemovedCallback = std::function<void(Endpoint const&)>;
 
     struct Target {
         std::string instance;
@@ -41,10 +41,10 @@
         bool isLeaving { false };
     };
 
-    ServiceBoard(Bounds bounds, RandomHook random, Dropped dropped)
+    ServiceTable(Bounds bounds, RandomHook random, UpstreamRemovedCallback upstreamRemoved)
         : m_bounds(std::move(bounds))
         , m_random(std::move(random))
-        , m_dropped(std::move(dropped))
+        , m_upstreamRemoved(std::move(upstreamRemoved))
     {
     }
 
@@ -54,13 +54,13 @@
     // Operators empty that hall, or take that back: its upstreams get nothing further
     // meanwhile, and still give the contexts that they hold. Those of one that was taken back
     // count as just started: they may be cold, and their contexts would all return at once.
-    void setEmptied(HallId, bool isEmptied, Instant now);
+    void setHallEmptied(HallId, bool isEmptied, Instant now);
     // The upstream says that it stays cold for so long.
-    void noteCold(UpstreamId, Milliseconds left, Instant now);
+    void markCold(UpstreamId, Milliseconds left, Instant now);
 
     // The upstream's own answer says that it leaves. No record takes that back: one may be
     // older, or come back with a store that has lost its last seconds.
-    void noteLeaving(UpstreamId, Instant now);
+    void markLeaving(UpstreamId, Instant now);
 
     // This daemon's part of what the fleet may spend on retries, from 0 to 1.
     void setRetryShare(double);
@@ -69,7 +69,7 @@
     Entry& service(std::string const& name);
     Target const* target(UpstreamId) const;
     // The start of the upstream that is a target now.
-    std::optional<UpstreamId> idOf(std::string const& instance) const;
+    std::optional<UpstreamId> currentId(std::string const& instance) const;
     // Which upstreams and halls have fallen silent.
     SilenceWatch& silence() { return m_silence; }
     std::map<std::string, std::unique_ptr<Entry>> const& services() const { return m_services; }
@@ -77,22 +77,22 @@
 
 private:
     void remove(std::string const& instance);
-    void place(UpstreamId, Target const&);
-    void noteColdRecord(UpstreamRecord const&, Instant now);
-    void removeOthers(UpstreamRecord const&);
+    void updatePlacement(UpstreamId, Target const&);
+    void applyColdTime(UpstreamRecord const&, Instant now);
+    void removeReplaced(UpstreamRecord const&);
 
     Bounds m_bounds;
     RandomHook m_random;
-    Dropped m_dropped;
+    UpstreamRemovedCallback m_upstreamRemoved;
     double m_retryShare { 0 };
     SilenceWatch m_silence;
     std::map<std::string, std::unique_ptr<Entry>> m_services;
     std::map<UpstreamId, Target> m_targets;
     std::set<HallId> m_emptiedHalls;
-    // Upstreams that said in their answers that they leave, and when.
-    std::map<UpstreamId, Instant> m_saidLeaving;
+    // Upstreams that announced in their answers that they leave, and when.
+    std::map<UpstreamId, Instant> m_announcedLeaving;
     // Which start of each upstream is a target.
-    std::map<std::string, UpstreamId> m_ids;
+    std::map<std::string, UpstreamId> m_currentIds;
 };
 
 }
--- a/Services/stagepostd/SettingsHistory.h
+++ b/Services/stagepostd/SettingsHistory.h
@@ -12,7 +12,7 @@
 
 // A configuration as one gateway gives it to another: the changes that lead to it, one
 // after the other.
-struct ToldSettings {
+struct SettingsUpdate {
     struct Step {
         // What it leads to.
         uint64_t version { 0 };
@@ -34,37 +34,37 @@
 };
 
 // The newest configuration as the platform wrote it, and the last changes. Others are
-// told what leads from the one that they have. If each daemon reads every new one itself, a
+// update what leads from the one that they have. If each daemon reads every new one itself, a
 // change costs as many calls to the store as there are daemons, and a megabyte on each link.
 class SettingsHistory {
 public:
-    // The steps by which it was told are passed on as they are: only whoever has read a
+    // The steps by which it was update are passed on as they are: only whoever has read a
     // configuration from the store works out what has changed.
-    void add(uint64_t version, SettingsText text, std::optional<ToldSettings> const& told);
+    void add(uint64_t version, SettingsText text, std::optional<SettingsUpdate> const& update);
 
     uint64_t version() const { return m_version; }
     // Empty where there is none.
     std::string const& text() const { return *m_text; }
-    ToldSettings since(uint64_t known) const;
-    // The text that was told. Error: Malformed, also where nothing was told or it leads on
+    SettingsUpdate updateSince(uint64_t known) const;
+    // The text that was update. Error: Malformed, also where nothing was update or it leads on
     // from another configuration.
-    Result<std::string> textOf(ToldSettings const&) const;
+    Result<std::string> applyUpdate(SettingsUpdate const&) const;
 
 private:
     // Changes in quick succession come some four a second, and others ask every second.
-    static constexpr size_t mostSteps = 8;
+    static constexpr size_t maxSteps = 8;
     // Of all steps. A relay tells seven others: this takes a link of 10 Mbit/s less than
     // a second, and the store's own text of 1.1 MB would take each of theirs as long.
-    static constexpr size_t mostBytes = 128u << 10;
+    static constexpr size_t maxUpdateBytes = 128u << 10;
 
     uint64_t m_version { 0 };
     SettingsText m_text { makeSettingsText({}) };
     // What leads to the newest, each on from the one before it.
-    std::deque<ToldSettings::Step> m_steps;
+    std::deque<SettingsUpdate::Step> m_steps;
     // What the first step leads on from.
     uint64_t m_base { 0 };
     // The newest from an empty text; made for the first that asks.
-    mutable std::string m_whole;
+    mutable std::string m_fullDelta;
 };
 
 }
--- /dev/null
+++ b/Services/stagepostd/SettingsLoader.cpp
@@ -0,0 +1,84 @@
+#include <stagepostd/SettingsLoader.h>
+
+#include <algorithm>
+#include <utility>
+
+namespace Stagepost {
+
+namespace {
+
+    // How long requests wait for one runSlice of reading, at the most: a small part of the
+    // time in which a stream's next event is still in time.
+    constexpr Milliseconds maxSliceDuration { 4 };
+    // Of one runSlice, where the clock does not show what it takes: a step takes a tenth of a
+    // millisecond on an eighth of a core.
+    constexpr size_t maxStepsPerSlice = 24;
+
+    bool hasVersion(std::optional<SettingsLoader::PendingSettings> const& pending, uint64_t version)
+    {
+        return pending && pending->update && pending->update->version >= version;
+    }
+
+}
+
+SettingsLoader::SettingsLoader(EventLoop& loop, Hooks hooks)
+    : m_loop(loop)
+    , m_hooks(std::move(hooks))
+    , m_timer(loop)
+{
+}
+
+bool SettingsLoader::isLoading(uint64_t version) const
+{
+    return hasVersion(m_current, version) || hasVersion(m_next, version);
+}
+
+void SettingsLoader::load(PendingSettings pending)
+{
+    if (isBusy())
+        m_next = std::move(pending);
+    else
+        startLoading(std::move(pending));
+}
+
+void SettingsLoader::startLoading(PendingSettings pending)
+{
+    m_current = std::move(pending);
+    m_current->startedAt = m_loop.now();
+    m_steps = m_hooks.parse(m_current->text);
+    continueLoading();
+}
+
+std::optional<Result<RouteTable::Parts>> SettingsLoader::runSlice()
+{
+    auto const begin = m_loop.now();
+    std::optional<Result<RouteTable::Parts>> parts;
+    for (size_t count = 0; count < maxStepsPerSlice && !parts && m_loop.now() - begin < maxSliceDuration; ++count)
+        parts = m_steps();
+    auto const took = m_loop.now() - begin;
+    m_current->longestSlice = std::max(m_current->longestSlice, took);
+    m_hooks.sliceFinished(took);
+    return parts;
+}
+
+void SettingsLoader::continueLoading()
+{
+    if (auto parts = runSlice())
+        finish(std::move(*parts));
+    else
+        m_timer.once(Milliseconds(0), [this] { continueLoading(); });
+}
+
+void SettingsLoader::finish(Result<RouteTable::Parts> parts)
+{
+    auto const pending = std::move(*m_current);
+    m_current.reset();
+    m_steps = {};
+    bool const isApplied = m_hooks.parsed(std::move(parts), pending);
+    if (m_next)
+        m_timer.once(Milliseconds(0), [this] { startLoading(*std::exchange(m_next, {})); });
+    if (isApplied && pending.onApplied)
+        pending.onApplied();
+}
+
+}
--- a/Services/stagepostd/SettingsIntake.h
+++ b/Services/stagepostd/SettingsLoader.h
@@ -12,49 +12,49 @@
 // then some more. What is in force stays so until a new one is read to its end. While
 // one is read only the newest of those that come waits; the one that is read is always
 // finished, so that changes in quick succession never keep all of them from being used.
-class SettingsIntake {
+class SettingsLoader {
 public:
     // A configuration as it came.
-    struct Arrival {
+    struct PendingSettings {
         SettingsText text;
-        // How it was told, if another daemon told it.
-        std::optional<ToldSettings> told;
+        // How it was update, if another daemon update it.
+        std::optional<SettingsUpdate> update;
         // Called once it is in force, or a newer one is; not if it cannot be read.
-        std::function<void()> inForce;
+        std::function<void()> onApplied;
         // Where the platform's records go on behind it; 0 where that is not known.
         uint64_t position { 0 };
-        // When it began to be read, and how long requests waited for its longest turn.
-        Instant begunAt {};
-        Microseconds longestTurn { 0 };
+        // When it began to be read, and how long requests waited for its longest runSlice.
+        Instant startedAt {};
+        Microseconds longestSlice { 0 };
     };
 
     struct Hooks {
-        std::function<SettingsSteps(SettingsText const&)> read;
+        std::function<SettingsSteps(SettingsText const&)> parse;
         // Whether it is in force now, or a newer one: not if it could not be read.
-        std::function<bool(Result<RouteTable::Parts>&&, Arrival const&)> taken;
-        // How long requests had to wait for one turn.
-        std::function<void(Microseconds)> turned { [](Microseconds) {} };
+        std::function<bool(Result<RouteTable::Parts>&&, PendingSettings const&)> parsed;
+        // How long requests had to wait for one runSlice.
+        std::function<void(Microseconds)> sliceFinished { [](Microseconds) {} };
     };
 
-    SettingsIntake(EventLoop&, Hooks);
+    SettingsLoader(EventLoop&, Hooks);
 
-    void take(Arrival);
-    bool isBusy() const { return m_reading || m_waiting; }
-    // Whether that version was told and is being read, or a newer one.
-    bool isTaking(uint64_t version) const;
+    void load(PendingSettings);
+    bool isBusy() const { return m_current || m_next; }
+    // Whether that version was update and is being read, or a newer one.
+    bool isLoading(uint64_t version) const;
 
 private:
-    void begin(Arrival);
-    void goOn();
-    std::optional<Result<RouteTable::Parts>> turn();
+    void startLoading(PendingSettings);
+    void continueLoading();
+    std::optional<Result<RouteTable::Parts>> runSlice();
     void finish(Result<RouteTable::Parts>);
 
     EventLoop& m_loop;
     Hooks m_hooks;
     Timer m_timer;
-    std::optional<Arrival> m_reading;
+    std::optional<PendingSettings> m_current;
     SettingsSteps m_steps;
-    std::optional<Arrival> m_waiting;
+    std::optional<PendingSettings> m_next;
 };
 
 }
--- a/Tests/platform/TestCrashWatch.cpp
+++ b/Tests/platform/TestCrashDetector.cpp
@@ -1,5 +1,5 @@
 #include <boost/test/unit_test.hpp>
-#include <stagepostd/CrashWatch.h>
+#include <stagepostd/CrashDetector.h>
 
 using namespace Stagepost;
 
@@ -15,16 +15,16 @@
     CrashSuspects suspects { VMId(1) };
     std::vector<PortProbe::Callback> probes;
     std::vector<RequestFingerprint> seen;
-    CrashWatch watch { loop, metrics, suspects,
+    CrashDetector detector { loop, metrics, suspects,
         { [this](Endpoint const&, PortProbe::Callback callback) { probes.push_back(std::move(callback)); }, [this](RequestFingerprint fingerprint) { seen.push_back(fingerprint); } } };
 
-    void breakOff(RequestFingerprint fingerprint) { watch.brokeOff({ fingerprint, upstream, "book-1", { "127.0.0.1", 1 } }); }
+    void breakOff(RequestFingerprint fingerprint) { detector.requestBroken({ fingerprint, upstream, "book-1", { "127.0.0.1", 1 } }); }
     void answerProbe(PortState state) { std::exchange(probes, {}).front()(state); }
 };
 
 }
 
-BOOST_AUTO_TEST_SUITE(CrashWatchTests)
+BOOST_AUTO_TEST_SUITE(CrashDetectorTests)
 
 BOOST_AUTO_TEST_CASE(AClosedPortBooksTheEndOnAllThatWasThere)
 {
@@ -45,7 +45,7 @@
         World world;
         world.breakOff(request);
         world.answerProbe(state);
-        BOOST_TEST(!world.watch.hasSuspects());
+        BOOST_TEST(!world.detector.hasSuspects());
     }
 }
 
@@ -55,10 +55,10 @@
     World world;
     world.breakOff(request);
     world.answerProbe(PortState::Open);
-    world.watch.tick();
+    world.detector.tick();
     BOOST_TEST(world.probes.empty());
     world.loop.runFor(Milliseconds(60));
-    world.watch.tick();
+    world.detector.tick();
     BOOST_REQUIRE(world.probes.size() == 1u);
     world.answerProbe(PortState::Closed);
     BOOST_TEST(world.suspects.endCount(request) == 1u);
@@ -69,9 +69,9 @@
     World world;
     world.breakOff(request);
     world.answerProbe(PortState::Open);
-    world.watch.restarted(UpstreamId(11));
-    BOOST_TEST(!world.watch.hasSuspects());
-    world.watch.restarted(upstream);
+    world.detector.upstreamRestarted(UpstreamId(11));
+    BOOST_TEST(!world.detector.hasSuspects());
+    world.detector.upstreamRestarted(upstream);
     BOOST_TEST(world.suspects.endCount(request) == 1u);
 }
 
@@ -80,10 +80,10 @@
     World world;
     world.breakOff(request);
     world.answerProbe(PortState::Closed);
-    world.watch.answered(request);
+    world.detector.requestAnswered(request);
     BOOST_TEST(world.suspects.endCount(request) == 0u);
     BOOST_TEST(world.seen.size() == 2u);
-    world.watch.answered(request);
+    world.detector.requestAnswered(request);
     BOOST_TEST(world.seen.size() == 2u);
 }
 
--- a/Tests/platform/TestServiceBoard.cpp
+++ b/Tests/platform/TestServiceTable.cpp
@@ -1,5 +1,5 @@
 #include <boost/test/unit_test.hpp>
-#include <stagepostd/ServiceBoard.h>
+#include <stagepostd/ServiceTable.h>
 
 using namespace Stagepost;
 
@@ -11,18 +11,18 @@
 }
 
 struct World {
-    void put(UpstreamRecord const& record) { board.apply({ record.instance, record }, now); }
+    void put(UpstreamRecord const& record) { table.apply({ record.instance, record }, now); }
 
     std::optional<ServicePlacement::Choice> choose(std::vector<UpstreamId> excluded = {})
     {
         ServicePlacement::Wish wish;
         wish.excluded = std::move(excluded);
-        return board.service("book").placement.choose(wish, now);
+        return table.service("book").placement.choose(wish, now);
     }
 
     void fail(UpstreamId id, size_t times)
     {
-        auto& placement = board.service("book").placement;
+        auto& placement = table.service("book").placement;
         for (size_t count = 0; count < times; ++count) {
             placement.started(id);
             placement.finished(id, SendOutcome::Broke, Milliseconds(1), Milliseconds(1), now);
@@ -31,12 +31,12 @@
 
     Instant now { Seconds(10) };
     std::vector<std::string> dropped;
-    ServiceBoard board { { "north", {}, {} }, [] { return 7u; }, [this](Endpoint const& endpoint) { dropped.push_back(endpoint.toString()); } };
+    ServiceTable table { { "north", {}, {} }, [] { return 7u; }, [this](Endpoint const& endpoint) { dropped.push_back(endpoint.toString()); } };
 };
 
 }
 
-BOOST_AUTO_TEST_SUITE(ServiceBoardTests)
+BOOST_AUTO_TEST_SUITE(ServiceTableTests)
 
 // The hall is emptied before the upstream's record comes, and after it.
 BOOST_AUTO_TEST_CASE(UpstreamsOfAnEmptiedHallGetNothing)
@@ -44,10 +44,10 @@
     World world;
     auto const north = HallId::fromName("north");
     world.put(upstream("a", 5));
-    world.board.setEmptied(north, true, world.now);
+    world.table.setHallEmptied(north, true, world.now);
     world.put(upstream("b", 6));
     BOOST_TEST(!world.choose().has_value());
-    world.board.setEmptied(north, false, world.now);
+    world.table.setHallEmptied(north, false, world.now);
     BOOST_TEST(world.choose().has_value());
 }
 
@@ -56,11 +56,11 @@
 {
     World world;
     world.put(upstream("a", 5));
-    world.board.noteLeaving(upstream("a", 5).id(), world.now);
+    world.table.markLeaving(upstream("a", 5).id(), world.now);
     BOOST_TEST(!world.choose().has_value());
     world.put(upstream("a", 5));
     BOOST_TEST(!world.choose().has_value());
-    world.board.apply({ "a", {} }, world.now);
+    world.table.apply({ "a", {} }, world.now);
     world.put(upstream("a", 5));
     BOOST_TEST(!world.choose().has_value());
     world.put(upstream("a", 6));
@@ -74,8 +74,8 @@
     auto leaving = upstream("a", 5);
     leaving.isLeaving = true;
     world.put(leaving);
-    world.board.setEmptied(HallId::fromName("north"), true, world.now);
-    world.board.setEmptied(HallId::fromName("north"), false, world.now);
+    world.table.setHallEmptied(HallId::fromName("north"), true, world.now);
+    world.table.setHallEmptied(HallId::fromName("north"), false, world.now);
     BOOST_TEST(!world.choose().has_value());
 }
 
@@ -83,7 +83,7 @@
 BOOST_AUTO_TEST_CASE(AColdUpstreamGetsNothingWithoutItsOwnersWord)
 {
     World world;
-    auto& placement = world.board.service("book").placement;
+    auto& placement = world.table.service("book").placement;
     placement.setColdBound({ 9, 1.5, 5, Seconds(3) });
     auto cold = upstream("a", 5);
     cold.coldLeft = Milliseconds(2000);
@@ -106,12 +106,12 @@
     auto const only = upstream("a", 5);
     auto cold = upstream("b", 6);
     cold.coldLeft = Milliseconds(2000);
-    world.board.service("book").placement.setColdBound({ 9, 1.5, 5, Seconds(3) });
+    world.table.service("book").placement.setColdBound({ 9, 1.5, 5, Seconds(3) });
     world.put(only);
     world.put(cold);
     ServicePlacement::Wish wish;
     wish.avoided = { only.id(), cold.id() };
-    auto const choice = world.board.service("book").placement.choose(wish, world.now);
+    auto const choice = world.table.service("book").placement.choose(wish, world.now);
     BOOST_REQUIRE(choice.has_value());
     BOOST_TEST((choice->upstream == only.id()));
 }
@@ -119,23 +119,23 @@
 BOOST_AUTO_TEST_CASE(AnUpstreamIsWarmWhenItsRecordSaysSo)
 {
     World world;
-    world.board.service("book").placement.setColdBound({ 9, 1.5, 5, Seconds(3) });
+    world.table.service("book").placement.setColdBound({ 9, 1.5, 5, Seconds(3) });
     auto cold = upstream("a", 5);
     cold.coldLeft = Milliseconds(2000);
     world.put(cold);
     world.put(upstream("a", 5));
     BOOST_TEST(world.choose().has_value());
-    world.board.noteCold(cold.id(), Milliseconds(500), world.now);
+    world.table.markCold(cold.id(), Milliseconds(500), world.now);
     BOOST_TEST(!world.choose().has_value());
 }
 
 BOOST_AUTO_TEST_CASE(AHallThatIsTakenBackCountsAsJustStarted)
 {
     World world;
-    world.board.service("book").placement.setColdBound({ 9, 1.5, 5, Seconds(3) });
+    world.table.service("book").placement.setColdBound({ 9, 1.5, 5, Seconds(3) });
     world.put(upstream("a", 5));
-    world.board.setEmptied(HallId::fromName("north"), true, world.now);
-    world.board.setEmptied(HallId::fromName("north"), false, world.now);
+    world.table.setHallEmptied(HallId::fromName("north"), true, world.now);
+    world.table.setHallEmptied(HallId::fromName("north"), false, world.now);
     BOOST_TEST(!world.choose().has_value());
     world.now += Seconds(3);
     BOOST_TEST(world.choose().has_value());
@@ -146,12 +146,12 @@
 {
     World world;
     world.put(upstream("a", 5));
-    auto& placement = world.board.service("book").placement;
+    auto& placement = world.table.service("book").placement;
     ServicePlacement::Wish wish;
     wish.context = 7;
     LedgerExchange::Outcome const granted { upstream("a", 5).id(), true, 1 };
     BOOST_TEST(placement.chosenByOwners(wish, granted, world.now).has_value());
-    world.board.setEmptied(HallId::fromName("north"), true, world.now);
+    world.table.setHallEmptied(HallId::fromName("north"), true, world.now);
     BOOST_TEST(!placement.chosenByOwners(wish, granted, world.now).has_value());
 }
 
@@ -164,16 +164,16 @@
     auto const second = upstream("a", 6);
     world.put(first);
     world.fail(first.id(), 20);
-    world.board.silence().sent(first.id(), HallId::fromName("north"), world.now);
-    world.board.service("book").placement.started(first.id());
-    BOOST_TEST(world.board.service("book").placement.ownInFlight().size() == 1u);
+    world.table.silence().sent(first.id(), HallId::fromName("north"), world.now);
+    world.table.service("book").placement.started(first.id());
+    BOOST_TEST(world.table.service("book").placement.ownInFlight().size() == 1u);
     world.put(second);
     BOOST_TEST((world.dropped == std::vector<std::string> { "10.0.0.1:80" }));
-    BOOST_TEST(!world.board.target(first.id()));
-    BOOST_REQUIRE(world.board.target(second.id()));
-    BOOST_TEST(world.board.target(second.id())->instance == "a");
-    BOOST_TEST(world.board.service("book").placement.ownInFlight().empty());
-    BOOST_TEST(!world.board.silence().isSilent(second.id(), world.now + Seconds(5)));
+    BOOST_TEST(!world.table.target(first.id()));
+    BOOST_REQUIRE(world.table.target(second.id()));
+    BOOST_TEST(world.table.target(second.id())->instance == "a");
+    BOOST_TEST(world.table.service("book").placement.ownInFlight().empty());
+    BOOST_TEST(!world.table.silence().isSilent(second.id(), world.now + Seconds(5)));
     auto const chosen = world.choose();
     BOOST_REQUIRE(chosen);
     BOOST_TEST((chosen->upstream == second.id() && !chosen->isInDoubt));
@@ -201,11 +201,11 @@
     record.service = "chat";
     world.put(record);
     BOOST_TEST(!world.choose());
-    BOOST_TEST(world.board.target(record.id())->service == "chat");
-    world.board.apply({ "a", {} }, world.now);
-    BOOST_TEST(!world.board.target(record.id()));
-    world.board.apply({ "a", {} }, world.now);
-    BOOST_TEST(world.board.upstreamCount() == 0u);
+    BOOST_TEST(world.table.target(record.id())->service == "chat");
+    world.table.apply({ "a", {} }, world.now);
+    BOOST_TEST(!world.table.target(record.id()));
+    world.table.apply({ "a", {} }, world.now);
+    BOOST_TEST(world.table.upstreamCount() == 0u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/platform/TestSettingsIntake.cpp
+++ b/Tests/platform/TestSettingsLoader.cpp
@@ -1,5 +1,5 @@
 #include <boost/test/unit_test.hpp>
-#include <stagepostd/SettingsIntake.h>
+#include <stagepostd/SettingsLoader.h>
 
 using namespace Stagepost;
 
@@ -20,7 +20,7 @@
         };
     }
 
-    SettingsIntake::Arrival arrival(std::string const& text)
+    SettingsLoader::PendingSettings pending(std::string const& text)
     {
         return { makeSettingsText(text), {}, [this, text] { inForce.push_back(text); } };
     }
@@ -35,8 +35,8 @@
     std::vector<std::string> taken;
     std::vector<std::string> inForce;
     size_t steps { 0 };
-    SettingsIntake intake { loop, { [this](SettingsText const& text) { return read(*text); }, [this](auto&& parts, auto const& arrived) {
-                                       taken.push_back(*arrived.text);
+    SettingsLoader loader { loop, { [this](SettingsText const& text) { return read(*text); }, [this](auto&& parts, auto const& pending) {
+                                       taken.push_back(*pending.text);
                                        return parts.has_value(); } } };
 };
 
@@ -44,31 +44,31 @@
 
 }
 
-BOOST_AUTO_TEST_SUITE(SettingsIntakeTests)
+BOOST_AUTO_TEST_SUITE(SettingsLoaderTests)
 
 // A table of 4,449 routes was read in one piece, and requests stood still for up to
 // 340 ms on an eighth of a core ("stalled late_ms=340").
 BOOST_AUTO_TEST_CASE(ALongReadingLetsOthersGoFirst)
 {
     World world;
-    world.intake.take(world.arrival(std::string(500, 'a')));
-    BOOST_TEST(world.intake.isBusy());
+    world.loader.load(world.pending(std::string(500, 'a')));
+    BOOST_TEST(world.loader.isBusy());
     BOOST_TEST(world.steps < 100u);
     size_t stepsWhenOthersRan = 0;
     world.loop.post([&] { stepsWhenOthersRan = world.steps; });
     world.run();
     BOOST_TEST(stepsWhenOthersRan < 200u);
     BOOST_TEST(world.inForce.size() == 1u);
-    BOOST_TEST(!world.intake.isBusy());
+    BOOST_TEST(!world.loader.isBusy());
 }
 
 BOOST_AUTO_TEST_CASE(OfThoseThatWaitOnlyTheNewestIsRead)
 {
     World world;
     auto const first = std::string(300, 'a');
-    world.intake.take(world.arrival(first));
-    world.intake.take(world.arrival("overtaken"));
-    world.intake.take(world.arrival("newest"));
+    world.loader.load(world.pending(first));
+    world.loader.load(world.pending("overtaken"));
+    world.loader.load(world.pending("newest"));
     world.run();
     BOOST_TEST((world.begun == Texts { first, "newest" }));
     BOOST_TEST((world.inForce == Texts { first, "newest" }));
@@ -79,9 +79,9 @@
 {
     World world;
     auto const first = std::string(300, 'a');
-    world.intake.take(world.arrival(first));
+    world.loader.load(world.pending(first));
     for (size_t round = 0; round < 20 && world.taken.empty(); ++round) {
-        world.intake.take(world.arrival("newer" + std::to_string(round)));
+        world.loader.load(world.pending("newer" + std::to_string(round)));
         world.loop.runFor(Milliseconds(1));
     }
     BOOST_REQUIRE(!world.taken.empty());
@@ -91,8 +91,8 @@
 BOOST_AUTO_TEST_CASE(OneThatCannotBeReadIsNotInForceAndStopsNothing)
 {
     World world;
-    world.intake.take(world.arrival("aax"));
-    world.intake.take(world.arrival("bbb"));
+    world.loader.load(world.pending("aax"));
+    world.loader.load(world.pending("bbb"));
     world.run();
     BOOST_TEST((world.taken == Texts { "aax", "bbb" }));
     BOOST_TEST((world.inForce == Texts { "bbb" }));
@@ -103,26 +103,26 @@
 BOOST_AUTO_TEST_CASE(WhatArrivesBetweenTwoReadingsIsRead)
 {
     World world;
-    auto first = world.arrival("first");
-    first.inForce = [&] { world.intake.take(world.arrival("third")); };
-    world.intake.take(world.arrival(std::string(100, 'a')));
-    world.intake.take(std::move(first));
+    auto first = world.pending("first");
+    first.onApplied = [&] { world.loader.load(world.pending("third")); };
+    world.loader.load(world.pending(std::string(100, 'a')));
+    world.loader.load(std::move(first));
     world.run();
     BOOST_TEST(world.inForce.back() == "third");
-    BOOST_TEST(!world.intake.isBusy());
+    BOOST_TEST(!world.loader.isBusy());
 }
 
 BOOST_AUTO_TEST_CASE(WhatWasToldIsKnownToBeOnItsWay)
 {
     World world;
-    auto told = world.arrival(std::string(100, 'a'));
-    told.told = ToldSettings { 9, 7, {} };
-    world.intake.take(std::move(told));
-    BOOST_TEST(world.intake.isTaking(9));
-    BOOST_TEST(world.intake.isTaking(8));
-    BOOST_TEST(!world.intake.isTaking(10));
+    auto received = world.pending(std::string(100, 'a'));
+    received.update = SettingsUpdate { 9, 7, {} };
+    world.loader.load(std::move(received));
+    BOOST_TEST(world.loader.isLoading(9));
+    BOOST_TEST(world.loader.isLoading(8));
+    BOOST_TEST(!world.loader.isLoading(10));
     world.run();
-    BOOST_TEST(!world.intake.isTaking(9));
+    BOOST_TEST(!world.loader.isLoading(9));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- /dev/null
+++ b/Tests/platform/TestStallDetector.cpp
@@ -0,0 +1,65 @@
+#include <boost/test/unit_test.hpp>
+#include <stagepostd/StallDetector.h>
+
+using namespace Stagepost;
+
+namespace {
+
+Instant at(double seconds)
+{
+    return Instant(Microseconds(static_cast<int64_t>(seconds * 1e6)));
+}
+
+struct World {
+    World() { detector.start(at(100)); }
+
+    Metrics metrics;
+    StallDetector detector { metrics, { Milliseconds(100), Seconds(2) } };
+};
+
+}
+
+BOOST_AUTO_TEST_SUITE(StallDetectorTests)
+
+BOOST_AUTO_TEST_CASE(ALookInTimeFindsNothing)
+{
+    World world;
+    BOOST_TEST(world.detector.check(at(100.05), 0).count() == 0);
+    BOOST_TEST(world.detector.tick(at(100.1), 0).count() == 0);
+    BOOST_TEST(world.detector.tick(at(100.24), 0).count() == 0);
+    BOOST_TEST(!world.detector.needsRevalidation({}, at(100.24)));
+}
+
+// Between two ticks by a request, and once.
+BOOST_AUTO_TEST_CASE(WhoeverLooksFirstNotices)
+{
+    World world;
+    BOOST_TEST(world.detector.check(at(103), 1).count() == 2900000);
+    BOOST_TEST(world.detector.check(at(103), 1).count() == 0);
+    BOOST_TEST(world.detector.tick(at(103.05), 1).count() == 0);
+}
+
+BOOST_AUTO_TEST_CASE(WhatWasBelievedBeforeIsProvenAnew)
+{
+    World world;
+    world.detector.check(at(103), 0);
+    BOOST_TEST(world.detector.needsRevalidation({}, at(103.1)));
+    BOOST_TEST(world.detector.needsRevalidation(at(102.9), at(103.1)));
+    BOOST_TEST(!world.detector.needsRevalidation(at(103.05), at(103.1)));
+}
+
+BOOST_AUTO_TEST_CASE(WhoIsCutOffGoesOnAfterASecond)
+{
+    World world;
+    world.detector.check(at(103), 0);
+    BOOST_TEST(!world.detector.needsRevalidation(at(99), at(104.1)));
+}
+
+BOOST_AUTO_TEST_CASE(AShortStallLeavesBeliefsAsGoodAsTheyWere)
+{
+    World world;
+    BOOST_TEST(world.detector.check(at(101), 0).count() == 900000);
+    BOOST_TEST(!world.detector.needsRevalidation(at(100), at(101)));
+}
+
+BOOST_AUTO_TEST_SUITE_END()
