--- a/Services/stagepostd/CrashDetector.cpp
+++ b/Services/stagepostd/CrashDetector.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-    // A process closes its port and its connections within milliseconds, in any order.
+    // A process that ends closes its port and its connections within milliseconds of each other, in
+    // any order. So a port that is still open is probed a second time.
     constexpr size_t maxProbes = 2;
     constexpr Milliseconds probeInterval { 50 };
-    // Until an upstream that starts again at once is known by its record: its first report and
-    // the read of it take two to three seconds.
+    // An upstream that restarts at once is known by its new record after two to three seconds: it
+    // has to write its first report, and this daemon has to read it.
     constexpr Milliseconds pendingCheckTimeout { 5000 };
 
 }
--- a/Services/stagepostd/CrashDetector.h
+++ b/Services/stagepostd/CrashDetector.h
@@ -7,23 +7,24 @@
 
 namespace Stagepost {
 
-// Finds out which broken answers were the end of an upstream's process, and books those on the
-// requests that were there. An answer that breaks off may be the network's or that answer's own
-// matter; a port that is closed right after it, or another start of the upstream in its place, is not.
+// Detects which broken answers were caused by the end of an upstream's process, and records the
+// crash for all requests that the upstream broke off. A broken answer alone may be a fault of the
+// network or of that one request. A port that is closed right afterwards, or a restart of the
+// upstream, proves that the process ended.
 class CrashDetector {
 public:
     struct Hooks {
-        // Asks the upstream's port what became of it.
+        // Probes whether the upstream's port is still open.
         std::function<void(Endpoint const&, PortProbe::Callback)> probe;
-        // Something new is known of the request, which others are to know.
+        // There is new evidence about the request, to be shared with other daemons.
         std::function<void(RequestFingerprint)> evidenceChanged;
     };
 
-    // A request that the upstream broke off.
+    // A request whose answer broke off.
     struct BrokenRequest {
         RequestFingerprint request;
         UpstreamId upstream;
-        // For the log.
+        // Only logged.
         std::string instance;
         Endpoint endpoint;
     };
@@ -32,19 +33,19 @@
     CrashDetector(CrashDetector const&) = delete;
     CrashDetector& operator=(CrashDetector const&) = delete;
 
-    // While nothing is suspected no request needs its fingerprint.
+    // Without suspects, fingerprints of requests need not be computed.
     bool hasSuspects() const { return !m_suspects.isEmpty(); }
     bool isGuilty(RequestFingerprint request) const { return m_suspects.isGuilty(request); }
 
     void requestBroken(BrokenRequest const&);
-    // The request was answered whole.
+    // The request was answered completely.
     void requestAnswered(RequestFingerprint);
-    // Another start of the upstream has taken the place of this one.
+    // A new process of the upstream has replaced this one.
     void upstreamRestarted(UpstreamId);
     void tick();
 
 private:
-    // What an upstream broke off, until it is known whether it has ended.
+    // The requests that an upstream broke off, until it is known whether its process has ended.
     struct PendingCheck {
         std::set<RequestFingerprint> requests;
         std::string instance;
--- a/Services/stagepostd/StallDetector.cpp
+++ b/Services/stagepostd/StallDetector.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-    // A stall that callers of a stream may notice.
+    // Shorter stalls are not noticed by callers that read a stream.
     constexpr Milliseconds stallThreshold { 50 };
-    // A proof takes a read of the store, and an ask for most, within half a second at the pace of
-    // two reads a second.
+    // The state is confirmed by a read of the store, or for most daemons by asking another one. At
+    // two reads a second this takes half a second.
     constexpr Milliseconds revalidationTimeout { 1000 };
 
 }
--- a/Services/stagepostd/StallDetector.h
+++ b/Services/stagepostd/StallDetector.h
@@ -6,15 +6,16 @@
 
 namespace Stagepost {
 
-// Notices that this process stood still: its VM was suspended, or it was frozen or starved of its
-// processor. That explains much of what its callers saw, and it alone can tell.
+// Detects that this process did not run for a while, because its VM was suspended or because it was
+// stopped or got no CPU time. Such stalls explain many errors that callers see, and no other
+// process can detect them.
 class StallDetector {
 public:
     struct Bounds {
-        // From one check to the next.
+        // Expected time between two checks.
         Microseconds interval { 100000 };
-        // Beliefs that are older may name who has left: after standing still for longer they are
-        // proven anew before they are acted on.
+        // State that is older may list upstreams that have left. After a longer stall the state is
+        // confirmed again before it is used.
         Microseconds revalidateAfter { 2000000 };
     };
 
@@ -25,22 +26,23 @@
     }
 
     void start(Instant now);
-    // Before anything is handled. The result is how long it has stood still since it was looked
-    // last; zero where nobody noticed. The number of open requests is for the log.
+    // Called before any event is handled. Returns the length of the stall since the last check, or
+    // zero if it was too short for callers to notice. The number of open requests is only logged.
     Microseconds check(Instant now, size_t openRequests);
-    // A check that came at its interval.
+    // The periodic check.
     Microseconds tick(Instant now, size_t openRequests);
-    // Whether it has stood still for long, and nothing it believes is proven since. Not for
-    // ever: where nobody proves anything the daemon is cut off, and goes on with what it has.
+    // Whether there was a long stall and the state has not been confirmed since. Gives up after
+    // a timeout: if nothing confirms the state, the daemon is cut off and continues with the state
+    // that it has.
     bool needsRevalidation(std::optional<Instant> provenAt, Instant now) const;
 
 private:
     Metrics& m_metrics;
     Bounds m_bounds;
     Instant m_lastCheckAt;
-    // Of the VM, until the last check.
+    // Total time for which the VM had been suspended at the last stall, or at the start.
     Microseconds m_suspendedTime { 0 };
-    // After it stood still for long.
+    // End of the last stall that requires the state to be confirmed again.
     std::optional<Instant> m_resumedAt;
 };
 
--- a/Tests/platform/TestCrashDetector.cpp
+++ b/Tests/platform/TestCrashDetector.cpp
@@ -8,7 +8,7 @@
 RequestFingerprint const request { 77 };
 UpstreamId const upstream { 10 };
 
-// Ports answer when the test says so.
+// Probes are answered by the test.
 struct World {
     EventLoop loop;
     Metrics metrics;
@@ -26,12 +26,12 @@
 
 BOOST_AUTO_TEST_SUITE(CrashDetectorTests)
 
-BOOST_AUTO_TEST_CASE(AClosedPortBooksTheEndOnAllThatWasThere)
+BOOST_AUTO_TEST_CASE(ClosedPortRecordsACrashForAllBrokenRequests)
 {
     World world;
     world.breakOff(request);
     world.breakOff(RequestFingerprint(78));
-    // One question for both.
+    // One probe for both requests.
     BOOST_TEST(world.probes.size() == 1u);
     world.answerProbe(PortState::Closed);
     BOOST_TEST(world.suspects.endCount(request) == 1u);
@@ -39,7 +39,7 @@
     BOOST_TEST(world.seen.size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(AnOpenPortAndSilenceBookNothing)
+BOOST_AUTO_TEST_CASE(OpenOrSilentPortRecordsNoCrash)
 {
     for (auto const state : { PortState::Open, PortState::Silent }) {
         World world;
@@ -49,8 +49,8 @@
     }
 }
 
-// The port may be closed a moment after the connections.
-BOOST_AUTO_TEST_CASE(AnOpenPortIsAskedOnceMore)
+// The port may be closed a moment later than the connections.
+BOOST_AUTO_TEST_CASE(OpenPortIsProbedAgain)
 {
     World world;
     world.breakOff(request);
@@ -64,7 +64,7 @@
     BOOST_TEST(world.suspects.endCount(request) == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(AnotherStartInItsPlaceBooksTheEnd)
+BOOST_AUTO_TEST_CASE(RestartRecordsACrash)
 {
     World world;
     world.breakOff(request);
@@ -75,7 +75,7 @@
     BOOST_TEST(world.suspects.endCount(request) == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerClearsAndIsTold)
+BOOST_AUTO_TEST_CASE(AnswerClearsTheEvidenceAndIsShared)
 {
     World world;
     world.breakOff(request);
--- a/Tests/platform/TestStallDetector.cpp
+++ b/Tests/platform/TestStallDetector.cpp
@@ -21,7 +21,7 @@
 
 BOOST_AUTO_TEST_SUITE(StallDetectorTests)
 
-BOOST_AUTO_TEST_CASE(ALookInTimeFindsNothing)
+BOOST_AUTO_TEST_CASE(TimelyChecksDetectNoStall)
 {
     World world;
     BOOST_TEST(world.detector.check(at(100.05), 0).count() == 0);
@@ -30,8 +30,8 @@
     BOOST_TEST(!world.detector.needsRevalidation({}, at(100.24)));
 }
 
-// Between two ticks by a request, and once.
-BOOST_AUTO_TEST_CASE(WhoeverLooksFirstNotices)
+// A request between two ticks can detect the stall. Each stall is reported once.
+BOOST_AUTO_TEST_CASE(FirstCheckReportsTheStallOnce)
 {
     World world;
     BOOST_TEST(world.detector.check(at(103), 1).count() == 2900000);
@@ -39,7 +39,7 @@
     BOOST_TEST(world.detector.tick(at(103.05), 1).count() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(WhatWasBelievedBeforeIsProvenAnew)
+BOOST_AUTO_TEST_CASE(StateFromBeforeALongStallNeedsRevalidation)
 {
     World world;
     world.detector.check(at(103), 0);
@@ -48,14 +48,14 @@
     BOOST_TEST(!world.detector.needsRevalidation(at(103.05), at(103.1)));
 }
 
-BOOST_AUTO_TEST_CASE(WhoIsCutOffGoesOnAfterASecond)
+BOOST_AUTO_TEST_CASE(RevalidationTimesOutAfterASecond)
 {
     World world;
     world.detector.check(at(103), 0);
     BOOST_TEST(!world.detector.needsRevalidation(at(99), at(104.1)));
 }
 
-BOOST_AUTO_TEST_CASE(AShortStallLeavesBeliefsAsGoodAsTheyWere)
+BOOST_AUTO_TEST_CASE(ShortStallNeedsNoRevalidation)
 {
     World world;
     BOOST_TEST(world.detector.check(at(101), 0).count() == 900000);
