--- a/Services/stagepostd/SettingsHistory.cpp
+++ b/Services/stagepostd/SettingsHistory.cpp
@@ -47,9 +47,9 @@
 Result<std::string> SettingsHistory::applyUpdate(SettingsUpdate const& update) const
 {
     if (update.steps.empty())
-        return Error(ErrorCode::Malformed, "no configuration was update");
+        return Error(ErrorCode::Malformed, "the update contains no configuration");
     if (update.base && update.base != m_version)
-        return Error(ErrorCode::Malformed, "it leads on from another configuration");
+        return Error(ErrorCode::Malformed, "the update applies to another version");
     std::string text = update.base ? *m_text : std::string();
     for (auto const& step : update.steps)
         text = TRY(applyDelta(text, step.delta));
--- a/Services/stagepostd/SettingsLoader.cpp
+++ b/Services/stagepostd/SettingsLoader.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-    // How long requests wait for one runSlice of reading, at the most: a small part of the
-    // time in which a stream's next event is still in time.
+    // Requests wait for as long as a slice takes. This is a small part of the time in which the
+    // next event of a stream is due.
     constexpr Milliseconds maxSliceDuration { 4 };
-    // Of one runSlice, where the clock does not show what it takes: a step takes a tenth of a
-    // millisecond on an eighth of a core.
+    // Bounds a slice where the clock does not show its duration. A step takes 0.1 ms on an eighth
+    // of a core.
     constexpr size_t maxStepsPerSlice = 24;
 
     bool hasVersion(std::optional<SettingsLoader::PendingSettings> const& pending, uint64_t version)
--- a/Services/stagepostd/SettingsLoader.h
+++ b/Services/stagepostd/SettingsLoader.h
@@ -8,31 +8,32 @@
 
 namespace Stagepost {
 
-// Reads new configurations beside the requests: some steps, then whatever else is due,
-// then some more. What is in force stays so until a new one is read to its end. While
-// one is read only the newest of those that come waits; the one that is read is always
-// finished, so that changes in quick succession never keep all of them from being used.
+// Parses new configurations in short slices, between which the event loop handles requests. The
+// current configuration stays in force until the new one is parsed completely. Of the
+// configurations that arrive meanwhile only the newest is kept. Parsing is never aborted in favour
+// of a newer configuration, or else changes in quick succession could keep any from taking effect.
 class SettingsLoader {
 public:
-    // A configuration as it came.
+    // A configuration that is still to be parsed.
     struct PendingSettings {
         SettingsText text;
-        // How it was update, if another daemon update it.
+        // The update that it was made from, if it came from another daemon.
         std::optional<SettingsUpdate> update;
-        // Called once it is in force, or a newer one is; not if it cannot be read.
+        // Called once this configuration or a newer one is in force; not if parsing fails.
         std::function<void()> onApplied;
-        // Where the platform's records go on behind it; 0 where that is not known.
+        // The position in the platform's records that follows this configuration; 0 if unknown.
         uint64_t position { 0 };
-        // When it began to be read, and how long requests waited for its longest runSlice.
+        // When parsing started, and its longest slice.
         Instant startedAt {};
         Microseconds longestSlice { 0 };
     };
 
     struct Hooks {
         std::function<SettingsSteps(SettingsText const&)> parse;
-        // Whether it is in force now, or a newer one: not if it could not be read.
+        // Applies the result. Returns whether this configuration or a newer one is now in force,
+        // which is false if parsing failed.
         std::function<bool(Result<RouteTable::Parts>&&, PendingSettings const&)> parsed;
-        // How long requests had to wait for one runSlice.
+        // Reports the duration of a slice, for which requests had to wait.
         std::function<void(Microseconds)> sliceFinished { [](Microseconds) {} };
     };
 
@@ -40,7 +41,7 @@
 
     void load(PendingSettings);
     bool isBusy() const { return m_current || m_next; }
-    // Whether that version was update and is being read, or a newer one.
+    // Whether that version or a newer one, received from another daemon, is being parsed or waits.
     bool isLoading(uint64_t version) const;
 
 private:
--- a/Tests/platform/TestSettingsHistory.cpp
+++ b/Tests/platform/TestSettingsHistory.cpp
@@ -20,7 +20,7 @@
     return std::string(5000, 'r') + std::to_string(version) + std::string(5000, 's');
 }
 
-// Routes as operators write them, with names that are drawn.
+// Routes as operators write them, with random names.
 std::string routes(size_t count)
 {
     std::mt19937_64 random(1);
@@ -35,7 +35,7 @@
 
 BOOST_AUTO_TEST_SUITE(SettingsHistoryTests)
 
-BOOST_AUTO_TEST_CASE(SettingsAreToldAsWhatHasChanged)
+BOOST_AUTO_TEST_CASE(UpdateContainsOnlyTheChanges)
 {
     SettingsHistory sender;
     SettingsHistory receiver;
@@ -51,16 +51,17 @@
     BOOST_TEST(receiver.applyUpdate(change).value() == text(5));
     BOOST_TEST(!SettingsHistory().applyUpdate(change).has_value());
     BOOST_TEST(sender.updateSince(5).steps.empty());
-    // More than a link between daemons is to carry.
+    // Larger than the limit for a link between daemons.
     sender.add(6, makeSettingsText(noise(200000, 1)), {});
     BOOST_TEST(sender.updateSince(0).steps.empty());
     BOOST_TEST(sender.updateSince(3).steps.empty());
     BOOST_TEST(!receiver.applyUpdate(sender.updateSince(0)).has_value());
 }
 
-// A change of 1,400 routes beside 3,050 was more than daemons update one another, so each
-// of 83 read 1.1 MB from the store ("settings-left-to-the-store version=19", 162 lines).
-BOOST_AUTO_TEST_CASE(ManyNewRoutesAreTold)
+// Guards against updates that exceed the size limit: a change that added 1,400 routes to 3,050 was
+// too large to send, so each of 83 daemons read 1.1 MB from the store
+// ("settings-left-to-the-store version=19", 162 lines).
+BOOST_AUTO_TEST_CASE(ManyNewRoutesFitIntoAnUpdate)
 {
     SettingsHistory sender;
     SettingsHistory receiver;
@@ -73,8 +74,8 @@
     BOOST_TEST((receiver.applyUpdate(update).value() == routes(4450)));
 }
 
-// Whoever was update passes that on, and need not work out again what has changed.
-BOOST_AUTO_TEST_CASE(WhatWasToldIsPassedOn)
+// A daemon passes received deltas on unchanged instead of computing them again.
+BOOST_AUTO_TEST_CASE(ReceivedDeltasArePassedOn)
 {
     SettingsHistory sender;
     SettingsHistory between;
@@ -92,7 +93,7 @@
     BOOST_TEST(last.applyUpdate(between.updateSince(2)).value() == text(7));
 }
 
-BOOST_AUTO_TEST_CASE(WhoeverIsTooFarBehindIsToldAll)
+BOOST_AUTO_TEST_CASE(OldVersionGetsTheFullText)
 {
     SettingsHistory sender;
     for (uint64_t version = 1; version <= 30; ++version)
--- a/Tests/platform/TestSettingsLoader.cpp
+++ b/Tests/platform/TestSettingsLoader.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-// Reads a text of N letters in N steps; an 'x' among them cannot be read.
+// Parses a text of N letters in N steps, and fails at an 'x'.
 struct World {
     SettingsSteps read(std::string const& text)
     {
@@ -46,9 +46,9 @@
 
 BOOST_AUTO_TEST_SUITE(SettingsLoaderTests)
 
-// A table of 4,449 routes was read in one piece, and requests stood still for up to
-// 340 ms on an eighth of a core ("stalled late_ms=340").
-BOOST_AUTO_TEST_CASE(ALongReadingLetsOthersGoFirst)
+// Guards against blocking the event loop: a table of 4,449 routes that was parsed in one piece
+// blocked requests for up to 340 ms on an eighth of a core ("stalled late_ms=340").
+BOOST_AUTO_TEST_CASE(OtherEventsRunBetweenSlices)
 {
     World world;
     world.loader.load(world.pending(std::string(500, 'a')));
@@ -62,7 +62,7 @@
     BOOST_TEST(!world.loader.isBusy());
 }
 
-BOOST_AUTO_TEST_CASE(OfThoseThatWaitOnlyTheNewestIsRead)
+BOOST_AUTO_TEST_CASE(OnlyTheNewestWaitingConfigurationIsParsed)
 {
     World world;
     auto const first = std::string(300, 'a');
@@ -74,8 +74,8 @@
     BOOST_TEST((world.inForce == Texts { first, "newest" }));
 }
 
-// Else changes in quick succession could keep each other from ever being in force.
-BOOST_AUTO_TEST_CASE(TheOneThatIsReadIsFinishedWhateverComes)
+// Otherwise changes in quick succession could keep any of them from taking effect.
+BOOST_AUTO_TEST_CASE(ParsingIsNotAbortedByNewerConfigurations)
 {
     World world;
     auto const first = std::string(300, 'a');
@@ -88,7 +88,7 @@
     BOOST_TEST(world.taken.front() == first);
 }
 
-BOOST_AUTO_TEST_CASE(OneThatCannotBeReadIsNotInForceAndStopsNothing)
+BOOST_AUTO_TEST_CASE(ParseErrorDoesNotBlockTheNextConfiguration)
 {
     World world;
     world.loader.load(world.pending("aax"));
@@ -98,9 +98,9 @@
     BOOST_TEST((world.inForce == Texts { "bbb" }));
 }
 
-// What arrives between the end of one reading and the beginning of the next replaces
-// the one that waits, and loses nothing newer.
-BOOST_AUTO_TEST_CASE(WhatArrivesBetweenTwoReadingsIsRead)
+// A configuration that arrives after one is parsed and before the next is started replaces the
+// waiting one, and no newer one is lost.
+BOOST_AUTO_TEST_CASE(ConfigurationThatArrivesBetweenTwoLoadsIsParsed)
 {
     World world;
     auto first = world.pending("first");
@@ -112,7 +112,7 @@
     BOOST_TEST(!world.loader.isBusy());
 }
 
-BOOST_AUTO_TEST_CASE(WhatWasToldIsKnownToBeOnItsWay)
+BOOST_AUTO_TEST_CASE(ReceivedVersionIsReportedAsLoading)
 {
     World world;
     auto received = world.pending(std::string(100, 'a'));
