--- a/Services/stagepostd/ServiceTable.cpp
+++ b/Services/stagepostd/ServiceTable.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-    // How long it is kept that an upstream leaves which is gone by its record: that may have lapsed
-    // while the store was away, and come back.
+    // How long the announcement of an upstream without a record is kept: the record may have expired
+    // during an outage of the store, and may be written again.
     constexpr Seconds leavingRetention { 600 };
 
 }
@@ -51,8 +51,8 @@
     applyColdTime(record, now);
 }
 
-// A record that is told on its way through daemons is older than it says: an upstream is
-// taken for cold a little longer than it is.
+// The remaining time in a record that was passed on by other daemons is not reduced by its time in
+// transit, so an upstream is treated as cold for slightly too long.
 void ServiceTable::applyColdTime(UpstreamRecord const& record, Instant now)
 {
     auto const until = record.coldLeft.count() ? std::optional(now + record.coldLeft) : std::nullopt;
@@ -98,7 +98,7 @@
     }
 }
 
-// An earlier start of the same upstream, or the same one in another service.
+// Removes an earlier process of the same upstream, or its entry in another service.
 void ServiceTable::removeReplaced(UpstreamRecord const& record)
 {
     auto const known = m_currentIds.find(record.instance);
--- a/Services/stagepostd/ServiceTable.h
+++ b/Services/stagepostd/ServiceTable.h
@@ -11,8 +11,8 @@
 
 namespace Stagepost {
 
-// The services of a gateway: for each, who its upstreams are, how they do, and
-// what may be spent on retries.
+// The services of a gateway, each with its upstreams, their load and health, its retry budget and
+// its admission control.
 class ServiceTable {
 public:
     struct Bounds {
@@ -27,8 +27,8 @@
         AdmissionGate gate;
     };
 
-    // Called where an upstream's process is gone or was replaced: connections to it that
-    // rest are of no use to what is there now.
+    // Called when an upstream's process is gone or was replaced, so that idle connections to it can
+    // be closed.
     using UpstreamRemovedCallback = std::function<void(Endpoint const&)>;
 
     struct Target {
@@ -36,7 +36,7 @@
         Endpoint endpoint;
         std::string service;
         HallId hall;
-        // What its record says of it.
+        // From the upstream's record.
         size_t slots { 1 };
         bool isLeaving { false };
     };
@@ -48,29 +48,29 @@
     {
     }
 
-    // Takes over that an upstream is there now, has changed or is gone.
+    // Adds, updates or removes an upstream.
     void apply(UpstreamChange const&, Instant now);
 
-    // Operators empty that hall, or take that back: its upstreams get nothing further
-    // meanwhile, and still give the contexts that they hold. Those of one that was taken back
-    // count as just started: they may be cold, and their contexts would all return at once.
+    // Operators empty the hall, or cancel that. Upstreams of an emptied hall get no further requests,
+    // but other upstreams can still copy contexts from them. After the cancellation they are treated
+    // as just started: they may be cold, and all their contexts would return at once.
     void setHallEmptied(HallId, bool isEmptied, Instant now);
-    // The upstream says that it stays cold for so long.
+    // The upstream reports that it stays cold for this long.
     void markCold(UpstreamId, Milliseconds left, Instant now);
 
-    // The upstream's own answer says that it leaves. No record takes that back: one may be
-    // older, or come back with a store that has lost its last seconds.
+    // The upstream announces in an answer that it is leaving. A record never revokes this, since it
+    // may be older than the answer, or restored by a store that has lost its last seconds.
     void markLeaving(UpstreamId, Instant now);
 
-    // This daemon's part of what the fleet may spend on retries, from 0 to 1.
+    // This daemon's share of the fleet's retry budget, from 0 to 1.
     void setRetryShare(double);
 
-    // Services are made when they are first asked for and then stay.
+    // Creates the service on first use. Services are never removed.
     Entry& service(std::string const& name);
     Target const* target(UpstreamId) const;
-    // The start of the upstream that is a target now.
+    // The id of the upstream's current process.
     std::optional<UpstreamId> currentId(std::string const& instance) const;
-    // Which upstreams and halls have fallen silent.
+    // Tracks which upstreams and halls no longer answer.
     SilenceWatch& silence() { return m_silence; }
     std::map<std::string, std::unique_ptr<Entry>> const& services() const { return m_services; }
     size_t upstreamCount() const { return m_targets.size(); }
@@ -89,9 +89,10 @@
     std::map<std::string, std::unique_ptr<Entry>> m_services;
     std::map<UpstreamId, Target> m_targets;
     std::set<HallId> m_emptiedHalls;
-    // Upstreams that announced in their answers that they leave, and when.
+    // Upstreams that announced in an answer that they are leaving, with the time of the first such
+    // answer.
     std::map<UpstreamId, Instant> m_announcedLeaving;
-    // Which start of each upstream is a target.
+    // The id of each upstream's current process, by instance name.
     std::map<std::string, UpstreamId> m_currentIds;
 };
 
--- a/Tests/platform/TestServiceTable.cpp
+++ b/Tests/platform/TestServiceTable.cpp
@@ -38,8 +38,8 @@
 
 BOOST_AUTO_TEST_SUITE(ServiceTableTests)
 
-// The hall is emptied before the upstream's record comes, and after it.
-BOOST_AUTO_TEST_CASE(UpstreamsOfAnEmptiedHallGetNothing)
+// One upstream's record arrives before the order to empty the hall, the other's after it.
+BOOST_AUTO_TEST_CASE(UpstreamsOfAnEmptiedHallGetNoRequests)
 {
     World world;
     auto const north = HallId::fromName("north");
@@ -51,8 +51,8 @@
     BOOST_TEST(world.choose().has_value());
 }
 
-// Neither what its record says later, nor that the record was gone meanwhile, takes it back.
-BOOST_AUTO_TEST_CASE(AnUpstreamThatSaidItLeavesGetsNothingWhateverItsRecordSays)
+// Neither a later record nor the loss of the record in between revokes the announcement.
+BOOST_AUTO_TEST_CASE(AnnouncedLeavingOverridesTheRecord)
 {
     World world;
     world.put(upstream("a", 5));
@@ -67,8 +67,8 @@
     BOOST_TEST(world.choose().has_value());
 }
 
-// What leaves by itself stays out when its hall is taken back.
-BOOST_AUTO_TEST_CASE(AnUpstreamThatLeavesDoesNotComeBackWithItsHall)
+// An upstream that is leaving stays excluded when its hall is no longer emptied.
+BOOST_AUTO_TEST_CASE(LeavingUpstreamStaysExcludedWhenItsHallReturns)
 {
     World world;
     auto leaving = upstream("a", 5);
@@ -79,8 +79,8 @@
     BOOST_TEST(!world.choose().has_value());
 }
 
-// Without its owner's word nothing goes to a cold upstream: the other daemons' sends count.
-BOOST_AUTO_TEST_CASE(AColdUpstreamGetsNothingWithoutItsOwnersWord)
+// Only a cold upstream's owner knows how many requests all daemons send to it.
+BOOST_AUTO_TEST_CASE(ColdUpstreamNeedsAGrantOfItsOwner)
 {
     World world;
     auto& placement = world.table.service("book").placement;
@@ -99,8 +99,9 @@
     BOOST_TEST(world.choose().has_value());
 }
 
-// An owner keeps the bound where the upstream might be cold: that alone refuses nobody.
-BOOST_AUTO_TEST_CASE(CautionAloneRefusesNobody)
+// Owners apply the rate limit of cold upstreams also to upstreams that might be cold. That alone
+// must not refuse a request: an upstream that is only avoided is used if there is no other.
+BOOST_AUTO_TEST_CASE(AvoidedUpstreamIsUsedIfThereIsNoOther)
 {
     World world;
     auto const only = upstream("a", 5);
@@ -116,7 +117,7 @@
     BOOST_TEST((choice->upstream == only.id()));
 }
 
-BOOST_AUTO_TEST_CASE(AnUpstreamIsWarmWhenItsRecordSaysSo)
+BOOST_AUTO_TEST_CASE(RecordWithoutColdTimeMakesTheUpstreamWarm)
 {
     World world;
     world.table.service("book").placement.setColdBound({ 9, 1.5, 5, Seconds(3) });
@@ -129,7 +130,7 @@
     BOOST_TEST(!world.choose().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(AHallThatIsTakenBackCountsAsJustStarted)
+BOOST_AUTO_TEST_CASE(UpstreamsOfAReturningHallCountAsJustStarted)
 {
     World world;
     world.table.service("book").placement.setColdBound({ 9, 1.5, 5, Seconds(3) });
@@ -141,8 +142,8 @@
     BOOST_TEST(world.choose().has_value());
 }
 
-// An owner's leave that was given before the order is not used after it.
-BOOST_AUTO_TEST_CASE(AGrantEndsWithTheOrderToEmptyItsHall)
+// A grant that was given before the order to empty the hall is not used after it.
+BOOST_AUTO_TEST_CASE(OrderToEmptyAHallInvalidatesEarlierGrants)
 {
     World world;
     world.put(upstream("a", 5));
@@ -155,9 +156,9 @@
     BOOST_TEST(!placement.chosenByOwners(wish, granted, world.now).has_value());
 }
 
-// What the process before did and held says nothing of the one that has its name now:
-// its breaker, what it has in flight, its silence and the connections to it.
-BOOST_AUTO_TEST_CASE(AnUpstreamThatStartsAgainIsJudgedAnew)
+// Circuit breaker, requests in flight, silence and idle connections of the earlier process do not
+// carry over to the new process of the same name.
+BOOST_AUTO_TEST_CASE(RestartResetsTheStateOfAnUpstream)
 {
     World world;
     auto const first = upstream("a", 5);
@@ -177,13 +178,13 @@
     auto const chosen = world.choose();
     BOOST_REQUIRE(chosen);
     BOOST_TEST((chosen->upstream == second.id() && !chosen->isInDoubt));
-    // A late end of a request to the one before changes nothing at this one.
+    // A request to the earlier process that ends late does not affect the new one.
     world.fail(first.id(), 5);
     BOOST_TEST((world.choose()->upstream == second.id()));
 }
 
-// Whoever failed at the process before may be sent to the new one: it is another.
-BOOST_AUTO_TEST_CASE(WhatFailedAtTheProcessBeforeMayGoToTheNewOne)
+// A request that failed at the earlier process may be sent to the new one.
+BOOST_AUTO_TEST_CASE(FailedRequestMayBeRetriedAtTheNewProcess)
 {
     World world;
     world.put(upstream("a", 5));
@@ -193,7 +194,7 @@
     BOOST_TEST((chosen->upstream == upstream("a", 6).id()));
 }
 
-BOOST_AUTO_TEST_CASE(AnUpstreamThatGoesOrChangesItsServiceIsNoneOfItAnyMore)
+BOOST_AUTO_TEST_CASE(UpstreamIsRemovedFromItsServiceWhenItMovesOrGoes)
 {
     World world;
     auto record = upstream("a", 5);
