--- a/Services/stagepostd/GatewayDialect.h
+++ b/Services/stagepostd/GatewayDialect.h
@@ -11,53 +11,53 @@
 
 namespace Stagepost {
 
-// What a caller's request says of itself, whatever fields it said it in.
+// What the gateway reads from a caller's request, independent of the header fields that carry it.
 struct GatewayCall {
-    // Names this one attempt of the caller; upstreams repeat it in their answers.
+    // Identifies this attempt of the caller; upstreams repeat it in their answers.
     std::string id;
     std::string key;
-    // How long the caller still waits; none where it does not say.
+    // How long the caller still waits; empty if it does not say.
     std::optional<Milliseconds> timeLeft;
     PromptChain prompt;
-    // The last event of an earlier stream that the caller has.
+    // The last event that the caller has received of a stream that it resumes.
     std::optional<uint64_t> lastEvent;
 };
 
-// What an upstream is told besides the caller's own request.
+// What the gateway adds to a caller's request when it sends it to an upstream.
 struct GatewaySend {
-    // The one start of the upstream's process that may run the request.
+    // Only this instance of the upstream may run the request.
     std::string instance;
-    // Empty where the route is public.
+    // Empty if the route is public.
     std::string organisation;
     unsigned priority { 5 };
     Milliseconds timeLeft { 0 };
-    // The last event that the caller has, where a stream is taken up.
+    // The last event that the caller has received, if a stream is resumed.
     std::optional<uint64_t> lastEvent;
-    // IP:PORT of another upstream that may hold what this one lacks of the prompt.
+    // IP:PORT of another upstream from which the prompt's context may be copied.
     std::optional<std::string> contextSource;
 };
 
-// What the head of an upstream's answer says.
+// What the gateway reads from the status and the header fields of an upstream's answer.
 struct GatewayAnswerHead {
     // The upstream says that it has not run the request.
     bool isNotRun { false };
-    // The answer carries the upstream's signature, without which callers do not
-    // count it as one.
+    // The answer carries the upstream's signature. Callers do not accept answers without it.
     bool isSigned { false };
     std::optional<UpstreamLoadReport> load;
-    // How much longer the upstream stays cold, where it says so.
+    // How much longer the upstream stays cold, if it says so.
     std::optional<Milliseconds> coldLeft {};
-    // The upstream turns requests away, and wants nothing from this daemon for so long.
+    // The upstream rejects requests and asks this daemon to send none for this long.
     std::optional<Milliseconds> restFor {};
-    // The upstream finishes what it has and leaves.
+    // The upstream finishes its open requests and then leaves.
     bool isLeaving { false };
 };
 
-// How the platform, its callers and its upstreams spell what the gateway needs.
+// Translates between the gateway and the formats of the platform's configuration, of its callers
+// and of its upstreams.
 struct GatewayDialect {
-    // One reading at a time.
+    // Starts to parse a configuration. Only one is parsed at a time.
     std::function<SettingsSteps(SettingsText const&)> readSettings;
-    // The field in which requests carry their ids and answers repeat them.
+    // The header field that carries the request's id; answers repeat it.
     std::string idField;
     std::function<GatewayCall(HttpCall const&)> readCall;
     std::function<HttpCall(HttpCall const&, GatewaySend const&)> writeCall;
--- a/Services/stagepostd/GatewayOptions.h
+++ b/Services/stagepostd/GatewayOptions.h
@@ -9,28 +9,28 @@
 
 namespace Stagepost {
 
-// The settings of a gateway.
+// Configures a gateway.
 struct GatewayOptions {
     std::string name;
     std::string hall;
-    // For callers.
+    // Address for callers.
     Endpoint listen;
-    // For the balancer's checks and the metrics.
+    // Address for the load balancer's health checks and for metrics.
     Endpoint readyListen;
-    // For other gateways.
+    // Address for other gateways.
     Endpoint peerListen;
-    // The greatest proven age of the configuration with which keys are still
-    // taken for good; none takes them at any age.
+    // The greatest proven age of the configuration at which keys are still accepted; empty accepts
+    // them at any age.
     std::optional<Milliseconds> keyFreshness;
-    // How long a newer configuration that another daemon tells of may take to be
-    // read from the store, before it is taken from that daemon.
+    // How long a newer configuration that another daemon has announced may take to arrive from that
+    // daemon before this one reads it from the store.
     Milliseconds peerSettingsTimeout { 300 };
-    // How long a stopping gateway takes requests, until the balancer has noticed.
+    // How long a stopping gateway accepts requests, until the load balancer has noticed.
     Milliseconds drainAccept { 3000 };
-    // From the signal to stop until the process is ended from outside.
+    // Time from the stop signal until the process is killed from outside.
     Milliseconds drainLimit { 8000 };
-    // Of what a cold upstream handles a second, and in requests more, what the fleet may
-    // send to it in any second.
+    // In any second the fleet may send to a cold upstream coldOvershoot times what it handles in a
+    // second, plus coldSlack requests.
     double coldOvershoot { 1 };
     double coldSlack { 0 };
     RetryBudget::Bounds retries;
--- a/Services/stagepostd/GatewayPolicies.cpp
+++ b/Services/stagepostd/GatewayPolicies.cpp
@@ -21,7 +21,7 @@
 
     Error unknownPolicy(std::string_view text)
     {
-        std::string message = "policy '" + std::string(text) + "': allowed is NAME=on or NAME=off, where NAME is one of";
+        std::string message = "policy '" + std::string(text) + "': expected NAME=on or NAME=off, where NAME is one of";
         for (auto const& policy : policies)
             message += ' ' + std::string(policy.name);
         return { ErrorCode::BadInput, std::move(message) };
--- a/Services/stagepostd/GatewayPolicies.h
+++ b/Services/stagepostd/GatewayPolicies.h
@@ -5,18 +5,18 @@
 
 namespace Stagepost {
 
-// Decisions that are made one way or another, so that experiments can compare the ways on
-// the same load. The defaults are what serves.
+// Switches for alternative routing decisions, so that experiments can compare them under the same
+// load. Production uses the defaults.
 struct GatewayPolicies {
-    // Whether the mean load is foreseen while it falls.
+    // Whether the mean load is also predicted while it falls.
     bool foreseesFall { true };
-    // Whether the first requests that end tell at once how long requests stay.
+    // Whether the first requests that end set the estimated duration of requests at once.
     bool learnsHoldAtOnce { true };
-    // Whether the bound of a cold upstream is kept where nobody knows it to be cold.
+    // Whether the rate limit of cold upstreams also applies while an upstream is not known to be cold.
     bool isCautious { true };
 
-    // The defaults but for what is named in a list as "NAME=on,NAME=off". Error: BadInput, which
-    // names the policies that there are.
+    // Parses a list such as "NAME=on,NAME=off"; policies that it does not name keep their defaults.
+    // Error: BadInput, with the names of all policies.
     static Result<GatewayPolicies> parse(std::string_view list);
 };
 
--- a/Services/stagepostd/GatewayReply.h
+++ b/Services/stagepostd/GatewayReply.h
@@ -5,12 +5,12 @@
 
 namespace Stagepost {
 
-// The status with which a gateway refuses: 503 where the request has not run,
-// whatever went wrong, and never 503 where it may have.
+// The HTTP status of a refusal. For a request that has not run, every server error becomes 503. A
+// request that may have run never gets 503.
 unsigned gatewayStatusOf(Refusal const&);
 
-// A refusal with its reason and verdict, and with the time to come back in
-// seconds and fractions of a second.
+// The answer for a refusal, with its reason and verdict. For a request that has not run, Retry-After
+// is given in seconds with three decimals.
 HttpReply gatewayReply(Refusal const&);
 
 }
--- a/Services/stagepostd/GatewayState.cpp
+++ b/Services/stagepostd/GatewayState.cpp
@@ -45,7 +45,7 @@
     for (size_t index = 0; index < count && !reader.failed(); ++index)
         upstreams.push_back(readUpstreamRecord(reader));
     if (!reader.finished())
-        return Error(ErrorCode::Malformed, "another daemon's state is not understood");
+        return Error(ErrorCode::Malformed, "malformed gateway state");
     if (hasUpstreams)
         state.upstreams = std::move(upstreams);
     return state;
--- a/Services/stagepostd/GatewayState.h
+++ b/Services/stagepostd/GatewayState.h
@@ -9,12 +9,12 @@
 
 namespace Stagepost {
 
-// All that a gateway believes of the platform, as one gives it to another.
+// The configuration and the upstreams that a gateway knows, as gateways send them to each other.
 struct GatewayState {
     SettingsUpdate settings;
-    // Of the upstreams.
+    // Hash of all upstream records.
     uint64_t upstreamsHash { 0 };
-    // None where the other has a list of that hash already.
+    // Empty if the receiver has a list with this hash already.
     std::optional<std::vector<UpstreamRecord>> upstreams;
 
     std::string encode() const;
