--- a/Services/stagepostd/GatewayPeers.cpp
+++ b/Services/stagepostd/GatewayPeers.cpp
@@ -9,16 +9,16 @@
 namespace {
 
     constexpr char const* peerHeader = "Stagepost-Peer";
-    // Followed by the version of the settings and the hash of the upstreams that the
-    // asking daemon has.
+    // Followed by the settings version and the upstreams hash of the requesting daemon.
     std::string const stateRequestPrefix = "state ";
-    // The state of 4,000 upstreams is 400 KB, which a link of 10 Mbit/s carries to
-    // a relay's seven others in 2.3 s.
+    // The state of 4,000 upstreams has 400 KB. Sending it to seven daemons takes a relay with a link
+    // of 10 Mbit/s 2.3 s.
     constexpr Milliseconds fetchTimeout { 3000 };
-    // Fine against the interval of asks.
+    // Short compared with the interval at which daemons ask for state.
     constexpr Milliseconds tickInterval { 50 };
     constexpr unsigned statusForbidden = 403;
-    // In a larger fleet what a relay tells others takes all that a daemon may send.
+    // In a larger fleet, a relay needs its whole bandwidth budget for the state that it sends, so it
+    // leaves contexts out of its questions to owners and does not ask which upstreams hold them.
     constexpr size_t maxPeersForRelayContextAsks = 128;
 
     std::string formatStateRequest(StateSummary const& known)
@@ -26,7 +26,7 @@
         return stateRequestPrefix + std::to_string(known.settingsVersion) + ' ' + std::to_string(known.upstreamsHash);
     }
 
-    // What is not understood counts as nothing, and all is answered.
+    // Numbers that cannot be parsed count as 0, so that the answer contains the full state.
     StateSummary parseStateRequest(std::string_view numbers)
     {
         StateSummary known;
@@ -68,14 +68,14 @@
 Result<void> GatewayPeers::join(GatewayPeer const& self, std::string const& key, Incarnation incarnation)
 {
     m_datagramAuthenticator.emplace(key, self.id(), incarnation);
-    // Sequence numbers of the two kinds run apart, so their keys differ.
+    // Datagrams and HTTP state have separate sequence numbers, so their keys must differ.
     m_stateAuthenticator.emplace(key + "/state", self.id(), incarnation);
     m_channel = std::make_unique<PeerChannel>(m_loop, *m_datagramAuthenticator, m_metrics, [this](PeerMessageKind kind, VMId from, Endpoint const& source, std::string_view body) { handleMessage(kind, from, source, body); });
     TRY(m_channel->bind(m_endpoint));
     FleetPeer const peer { self.id(), HallId::fromName(self.hall) };
     m_stateExchange = std::make_unique<StateExchange>(peer, m_random(), m_bounds, exchangeHooks());
     m_crashExchange = std::make_unique<CrashExchange>(peer, m_suspects, CrashExchange::Bounds {}, crashHooks());
-    // One that joins again by another key has requests that wait for owners' answers.
+    // Kept when the daemon joins again with another key, since requests may wait for answers.
     if (!m_ledgerExchange)
         m_ledgerExchange = std::make_unique<LedgerExchange>(peer, LedgerExchange::Bounds {}, ledgerHooks());
     if (!m_holderExchange)
@@ -136,7 +136,7 @@
     scheduleAnswerTimeout();
 }
 
-// The ticker is too coarse for a request that waits.
+// The interval of m_ticker is too long for the timeouts of waiting requests.
 void GatewayPeers::scheduleAnswerTimeout()
 {
     auto due = m_ledgerExchange->nextTimeout();
@@ -275,7 +275,7 @@
         return refuse("status " + std::to_string(reply->status));
     auto const opened = m_stateAuthenticator->open(reply->body);
     if (!opened || opened->sender != from)
-        return refuse("it is not sealed by that daemon");
+        return refuse("the state is not authenticated by that daemon");
     auto const state = GatewayState::decode(opened->body);
     if (!state)
         return refuse(state.error().message());
--- a/Services/stagepostd/GatewayPeers.h
+++ b/Services/stagepostd/GatewayPeers.h
@@ -14,40 +14,39 @@
 
 namespace Stagepost {
 
-// A gateway that is registered with the others.
+// A registered gateway of the fleet.
 struct GatewayPeer {
     std::string name;
     std::string hall;
-    // UDP for messages, TCP for what is too large for one.
+    // UDP for messages, and TCP for state that is too large for a datagram.
     Endpoint endpoint;
 
     VMId id() const { return VMId::fromName(name); }
 };
 
-// The registry of gateways, as others are told of it. By default there is none.
+// Access to the registry of gateways, which is shared with other gateways. Empty by default.
 struct GatewayRegistryHooks {
     std::function<uint64_t()> version { [] { return uint64_t { 0 }; } };
     std::function<std::optional<std::vector<RegistryRecord>>(uint64_t version)> since { [](uint64_t) { return std::nullopt; } };
     std::function<void(std::vector<RegistryRecord> const&, uint64_t version)> take { [](auto const&, uint64_t) {} };
 };
 
-// What a gateway has to do with the other gateways of its fleet: the exchange of
-// proofs and loads by datagrams, and the whole state by HTTP. All of it is sealed
-// with the fleet's key.
+// Communicates with the other gateways of the fleet: datagrams carry confirmations of state, loads,
+// crash evidence and questions to owners; the full state is fetched over HTTP. All messages are
+// authenticated with the fleet's key.
 class GatewayPeers {
 public:
     static constexpr char const* statePath = "/internal/state";
 
     struct Hooks {
         StateExchange::Beliefs beliefs;
-        // What leads from what another daemon has to the own beliefs.
+        // The update that takes another daemon from the state that it has to this daemon's state.
         std::function<GatewayState(StateSummary const& known)> state;
-        // Another daemon believes something else. Whether its state is to be asked
-        // for, or comes by another way.
+        // Another daemon's state differs. Returns whether to fetch it; it may already be on its way.
         std::function<bool(StateSummary const&)> needsStateFrom;
-        // Another daemon's state, proven as of a time or not at all.
+        // Merges another daemon's state, with the time as of which it is proven, if it is.
         std::function<void(GatewayState const&, std::optional<Instant> provenAt)> mergeState;
-        // What this daemon believes of an upstream by itself.
+        // This daemon's own forecast for an upstream.
         InFlightLedger::Forecast forecast;
     };
 
@@ -55,40 +54,40 @@
     GatewayPeers(GatewayPeers const&) = delete;
     GatewayPeers& operator=(GatewayPeers const&) = delete;
 
-    // Takes the address for others. Error: Unreachable.
+    // Listens for other gateways. Error: Unreachable.
     Result<Endpoint> listen(Endpoint const&);
 
-    // Begins to speak with others. The incarnation must be higher than that of
-    // any earlier start under the same name. Error: Unreachable.
+    // Starts to exchange messages. The incarnation must be higher than at any earlier start under
+    // the same name. Error: Unreachable.
     Result<void> join(GatewayPeer const& self, std::string const& key, Incarnation);
     void setPeers(std::vector<GatewayPeer> const&);
 
     bool hasJoined() const { return m_stateExchange != nullptr; }
-    // Without others every daemon reads the store.
+    // A daemon that has not joined reads the store itself.
     bool needsStore(Instant now) const { return !m_stateExchange || m_stateExchange->needsStore(now); }
-    // Whether it reads the store for others, or there is nobody to read it for this one.
+    // Whether it reads the store for others, or has not joined and reads it for itself.
     bool isReader() const { return !m_stateExchange || m_stateExchange->isReader(); }
     bool isRelay() const { return !m_stateExchange || m_stateExchange->isRelay(); }
     bool needsRegistry(Instant now) const { return !m_stateExchange || m_stateExchange->needsRegistry(now); }
-    // This daemon's part of the fleet, from 0 to 1.
+    // This daemon's share of the fleet, from 0 to 1; 0 before it has joined.
     double share() const { return m_stateExchange ? 1.0 / static_cast<double>(m_stateExchange->peerCount() + 1) : 0; }
     void stateConfirmed(Instant now);
     void stateChanged(Instant now);
-    // This daemon has seen something about the request that others are to know.
+    // Sends this daemon's crash evidence about the request to others.
     void shareCrashEvidence(RequestFingerprint, Instant now);
 
     // Whether upstreams' owners can be asked.
     bool canAskOwners() const { return m_ledgerExchange != nullptr; }
-    // As LedgerExchange has it.
+    // See LedgerExchange::choose().
     void chooseByOwners(LedgerExchange::Wish, LedgerExchange::Callback);
-    // As HolderExchange has it.
+    // See HolderExchange::placed().
     void findContextHolders(uint64_t context, UpstreamId, HolderExchange::Callback);
     void requestStarted(UpstreamId, HallId);
     void requestEnded(UpstreamId);
     size_t unansweredAsks() const { return m_ledgerExchange ? m_ledgerExchange->unansweredAsks() : 0; }
     size_t exhaustedAsks() const { return m_ledgerExchange ? m_ledgerExchange->exhaustedAsks() : 0; }
 
-    // Of messages to other daemons, since the start, without UDP's and IP's headers.
+    // Bytes sent in datagrams since the start, without UDP and IP headers.
     uint64_t bytesSent() const { return m_channel ? m_channel->socket().bytesSent() : 0; }
     size_t unreadableCounts() const { return m_stateExchange ? m_stateExchange->unreadableCounts() : 0; }
     uint64_t messagesSent() const { return m_channel ? m_channel->socket().messagesSent() : 0; }
@@ -116,8 +115,8 @@
     HttpServer m_server;
     Endpoint m_endpoint;
     std::map<VMId, GatewayPeer> m_peers;
-    // Where daemons sent from that are not known to be registered yet: in a fleet that
-    // starts at once, whoever registers late asks those before it.
+    // Source addresses of daemons whose registration is not known here yet. When a whole fleet
+    // starts at once, daemons that register late ask those that registered before.
     std::map<VMId, Endpoint> m_unregisteredPeers;
     std::optional<Authenticator> m_datagramAuthenticator;
     std::optional<Authenticator> m_stateAuthenticator;
@@ -127,7 +126,7 @@
     std::unique_ptr<LedgerExchange> m_ledgerExchange;
     std::unique_ptr<HolderExchange> m_holderExchange;
     Timer m_ticker;
-    // For answers of owners and homes that are overdue.
+    // Expires when the next answer of an owner, or of a context's home, is overdue.
     Timer m_answersTimer;
     bool m_isFetching { false };
 };
