--- a/Services/stagepostd/GatewayRequestHandler.cpp
+++ b/Services/stagepostd/GatewayRequestHandler.cpp
@@ -11,11 +11,11 @@
 namespace {
 
     constexpr unsigned firstServerError = 500;
-    // Answers up to this size are held until they are whole: an answer of a
-    // service is a few kilobytes.
+    // Answers up to this size are held back until they are complete, so that one that breaks off can
+    // be retried. Most answers have a few kilobytes.
     constexpr size_t maxHeldAnswerBytes = 64u << 10;
-    // Of the connections that an upstream takes from the whole fleet, what may rest;
-    // the others are for requests in flight, which no daemon counts for the rest.
+    // The part of an upstream's connection limit that may be used for idle connections. The rest is
+    // left for requests in flight, which no daemon counts for the whole fleet.
     constexpr double idleConnectionsShare = 0.5;
 
     AttemptTerms termsOf(RoutedRequest const& request)
@@ -36,13 +36,13 @@
         return result.failure == RefusalReason::CallerGone || result.failure == RefusalReason::SlowCaller;
     }
 
-    // No byte was sent.
+    // Whether nothing of the request was sent.
     bool isUnconnected(ForwardResult const& result)
     {
         return result.verdict == Verdict::NotRun && result.failure != RefusalReason::OverCapacity;
     }
 
-    // Statuses by which a caller is promised that its request has not run.
+    // Statuses that tell the caller that its request has not run.
     bool promisesNotRun(unsigned status)
     {
         return status == 503 || status == 429 || status == 408 || status == 421;
@@ -88,7 +88,8 @@
     return wish.context || m_service.placement.hasCold(m_services.loop.now());
 }
 
-// Owners count what has a context; the others are counted only where one was asked.
+// Requests on routes that keep contexts are always reported to the upstream's owner; other requests
+// are counted there only if an owner was asked.
 void GatewayRequestHandler::placeWithoutOwners(ServicePlacement::Wish const& wish)
 {
     if (m_request.route->keepsContext)
@@ -111,7 +112,8 @@
         refuse({ RefusalReason::DeadlinePassed, m_attempts.verdict(), "no time is left for an upstream to answer", {} });
         return false;
     }
-    // Each try of a caller is a new request by its id: without this it would end another upstream.
+    // A caller's retry has a new id, so only the fingerprint shows that the same request has crashed
+    // upstreams before. Without this check it would crash another one.
     if (m_services.crashDetector.hasSuspects() && m_services.crashDetector.isGuilty(fingerprint())) {
         refuse({ RefusalReason::EndsUpstreams, Verdict::MayHaveRun, "upstreams have ended under this request: it goes to none any more", {} });
         return false;
@@ -130,8 +132,8 @@
     return wish;
 }
 
-// Counts that daemons tell one another are older than many requests: a whole fleet that goes
-// by them fills one upstream and then leaves it empty.
+// The counts that daemons exchange are older than the duration of many requests. If a whole fleet
+// placed requests by them, it would overload an upstream and then leave it empty.
 void GatewayRequestHandler::askOwners(ServicePlacement::Wish const& wish)
 {
     auto candidates = m_service.placement.candidatesForOwners(wish, m_services.loop.now());
@@ -168,7 +170,7 @@
     placeWithoutOwners(wish);
 }
 
-// The upstream would read the context anew, which takes longer than to ask who holds it.
+// Asking which upstreams hold the context is faster than letting the upstream compute it again.
 void GatewayRequestHandler::findHolders(uint64_t context, ServicePlacement::Choice const& choice)
 {
     m_services.peers.findContextHolders(context, choice.upstream, [self = shared_from_this(), choice](std::vector<UpstreamId> const& holders) {
@@ -186,7 +188,7 @@
     send(choice);
 }
 
-// Some milliseconds have passed, in which all that allows a send may have changed.
+// Waiting for other daemons takes some milliseconds, in which the conditions for sending may change.
 bool GatewayRequestHandler::endedWhileWaiting()
 {
     if (m_exchange->isCallerGone()) {
@@ -208,7 +210,8 @@
         m_services.peers.requestEnded(*std::exchange(m_countedUpstream, {}));
 }
 
-// No owner can be reached, or the upstream has gone since: by what this daemon knows itself.
+// Used if no owner can be reached or the chosen upstream has gone: places the request by the counts
+// that this daemon has.
 void GatewayRequestHandler::placeByOwnCounts(ServicePlacement::Wish const& wish)
 {
     auto const choice = m_service.placement.choose(wish, m_services.loop.now());
@@ -244,7 +247,7 @@
     return { RefusalReason::NoUpstream, m_attempts.verdict(), "no upstream of the service is known", m_attempts.timeToComeBack() };
 }
 
-// To each upstream of the service.
+// The limit of idle connections to each upstream of the service.
 size_t GatewayRequestHandler::idleConnectionLimit(Service const* service) const
 {
     if (!service || !service->mostConnections)
@@ -303,7 +306,7 @@
         if (auto const handler = weak.lock())
             handler->recordSign(upstream, sign);
     };
-    // The budget that would have allowed another try may be spent by now.
+    // Waits on if a retry is no longer possible, for example because its budget is used up.
     plan.waitsOn = [weak = weak_from_this()] {
         auto const handler = weak.lock();
         return handler && !handler->couldSendAgain();
@@ -397,8 +400,8 @@
     }();
     if (outcome == SendOutcome::Unreachable)
         m_services.serviceTable.silence().unreached(upstream);
-    // The time to the head tells of the upstream; a stream's whole time tells of
-    // the answer's length.
+    // The time to the first byte measures the upstream. The total time of a stream measures only the
+    // length of the answer.
     m_service.placement.finished(upstream, outcome, result.firstByteAfter, now - m_sentAt, now);
     releaseInFlight();
     m_services.serviceTable.silence().ended(upstream, now);
--- a/Services/stagepostd/GatewayRequestHandler.h
+++ b/Services/stagepostd/GatewayRequestHandler.h
@@ -15,7 +15,7 @@
 
 namespace Stagepost {
 
-// What every request needs of its gateway.
+// The parts of a gateway that handling a request needs.
 struct GatewayServices {
     EventLoop& loop;
     Metrics& metrics;
@@ -23,21 +23,21 @@
     CrashDetector& crashDetector;
     GatewayPeers& peers;
     GatewayDialect const& dialect;
-    // Whether keys may still be taken for good by the configuration in force.
+    // Whether the configuration in force is recent enough to accept keys.
     std::function<bool()> areKeysFresh;
-    // Whether the daemon stood still for so long that nothing it believes may be acted on yet.
+    // Whether the daemon's state must be confirmed after a long stall before it may be used.
     std::function<bool()> needsRevalidation;
-    // The proven age of the configuration, for the log.
+    // The proven age of the configuration, which is only logged.
     std::function<Microseconds()> settingsAge;
-    // This daemon's part of the fleet, from 0 to 1.
+    // This daemon's share of the fleet, from 0 to 1.
     std::function<double()> share;
     std::function<RequestFingerprint(RequestTraits const&)> fingerprintOf;
 };
 
-// A caller's request with all that the configuration says of it.
+// A caller's request together with its route and organisation.
 struct RoutedRequest {
     GatewayCall call;
-    // Keeps the route alive while a newer configuration takes over.
+    // Keeps the route alive when a newer configuration replaces the table.
     std::shared_ptr<RouteTable const> table;
     Route const* route { nullptr };
     std::string service;
@@ -47,8 +47,8 @@
     Instant receivedAt;
 };
 
-// One request on its way: an upstream is chosen, the request goes there, and
-// what fails is sent to another one where that does no harm.
+// Handles one request: chooses an upstream, forwards the request, and retries it at another upstream
+// if it fails and may be repeated.
 class GatewayRequestHandler : public std::enable_shared_from_this<GatewayRequestHandler> {
 public:
     GatewayRequestHandler(GatewayServices const&, std::shared_ptr<Exchange>, RoutedRequest);
@@ -57,7 +57,7 @@
 
 private:
     void placeRequest();
-    // Whether nothing has come in the way of a send.
+    // Whether the request may be sent now. If not, it is refused.
     bool checkMaySend();
     ServicePlacement::Wish wish() const;
     bool needsOwner(ServicePlacement::Wish const&) const;
@@ -65,8 +65,10 @@
     void handleOwnerReply(LedgerExchange::Outcome const&);
     void findHolders(uint64_t context, ServicePlacement::Choice const&);
     void sendWithContextSource(ServicePlacement::Choice, std::vector<UpstreamId> const& holders);
+    // Whether the caller has left, or the request may no longer be sent, since an answer of another
+    // daemon was awaited. If so, the request is finished.
     bool endedWhileWaiting();
-    // It has ended, or was not sent after all.
+    // Stops counting the request as in flight: it has ended, or was not sent.
     void releaseInFlight();
     void placeWithoutOwners(ServicePlacement::Wish const&);
     void placeByOwnCounts(ServicePlacement::Wish const&);
@@ -79,18 +81,18 @@
     void forward(ServicePlacement::Choice const&, ServiceTable::Target const&);
     void recordSign(UpstreamId, UpstreamSign);
     std::optional<HeadRejection> checkAnswerHead(UpstreamId, unsigned status, HttpFields const&);
-    // The upstream that the request was sent to wants nothing for so long.
+    // The upstream asks to get no requests for this long.
     void handleRestRequest(UpstreamId, Milliseconds);
     size_t sizeForRetry(Instant now) const;
     bool couldSendAgain() const;
     void handleForwardResult(UpstreamId, ForwardResult const&);
     void recordOutcome(UpstreamId, ForwardResult const&);
-    // Of an answer that broke off.
+    // Reports an answer that broke off to the crash detector.
     void reportBrokenAnswer(UpstreamId);
     void failRequest(ForwardResult const&);
     void refuse(Refusal const&);
     RequestFingerprint fingerprint() const;
-    // The verdict is the one that the caller is told, or would be.
+    // The verdict is the one that the caller gets, or would get if it had not left.
     void log(std::string_view outcome, ForwardResult const&, std::string_view reason, Verdict) const;
 
     GatewayServices const& m_services;
@@ -100,19 +102,19 @@
     RequestAttempts m_attempts;
     std::shared_ptr<EventProgress> m_progress;
     std::string m_instance;
-    // Where the upstream may take the context from; empty for none.
+    // Instance from which the upstream may copy the context; empty if there is none.
     std::string m_contextSource;
     PlacementReason m_placement;
-    // What was left, at the send, of the time for which the upstream wanted nothing.
+    // How much longer, when the request was sent, the upstream wanted no requests.
     Microseconds m_restLeft { 0 };
-    // Where the upstream's owner counts it as in flight.
+    // The upstream at which owners count the request as in flight.
     std::optional<UpstreamId> m_countedUpstream;
-    // When the request was sent last.
+    // When the request was last sent.
     Instant m_sentAt;
-    // The same, or the upstream last heard since.
+    // When the upstream last gave a sign of life, or the request was last sent, whichever is later.
     Instant m_lastSignAt;
     std::optional<Refusal> m_lastFailure;
-    // Once it was needed: few requests fail.
+    // Computed when first needed, since few requests fail.
     mutable std::optional<RequestFingerprint> m_fingerprint;
 };
 
