--- a/Services/stagepostd/Gateway.cpp
+++ b/Services/stagepostd/Gateway.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-    // Left of the drain limit to break off what does not end and to stop in order.
+    // Part of the drain limit that is left to abort the remaining requests and to shut down cleanly.
     constexpr Milliseconds drainReserve { 300 };
-    // Fine enough for lapsed records and readiness, whose bounds are seconds.
+    // Short compared with the bounds for expired records and for readiness, which are seconds.
     constexpr Milliseconds tickInterval { 100 };
-    // What a caller is told to wait where only the platform can change things.
+    // Retry delay for callers if only the platform can resolve the refusal.
     constexpr Milliseconds platformRetryDelay { 250 };
-    // Connections come up or are refused within a few milliseconds, or hardly at all.
+    // Connections usually succeed or are refused within a few milliseconds, or not at all.
     constexpr Milliseconds portTimeout { 500 };
     constexpr unsigned statusUnready = 503;
 
@@ -166,8 +166,8 @@
     return !m_isDraining && m_table && m_directory.hasList() && areKeysFresh() && !needsRevalidation();
 }
 
-// A daemon that is told of a newer configuration gets it from there, unless that takes
-// longer than its patience.
+// A newer configuration normally comes from the daemon that announced it. It is overdue if that takes
+// longer than the timeout.
 bool Gateway::isSettingsOverdue() const
 {
     auto const isOver = [&](Instant since) { return m_loop.now() - since > m_options.peerSettingsTimeout; };
@@ -182,8 +182,8 @@
         m_storeIsAheadSince = m_loop.now();
 }
 
-// A read without a newer configuration proves the newest that came, which may still be
-// on its way to being in force.
+// A read without a newer configuration confirms the newest one that was received, which may still be
+// waiting or being parsed.
 void Gateway::updateSettings(std::optional<std::string> text, Instant readSentAt, uint64_t position)
 {
     m_storeIsAheadSince.reset();
@@ -207,7 +207,7 @@
     m_peers.stateConfirmed(m_loop.now());
 }
 
-// False where the text cannot be read.
+// Returns false if the configuration could not be parsed.
 bool Gateway::applySettings(Result<RouteTable::Parts>&& parts, SettingsLoader::PendingSettings const& loaded)
 {
     if (!parts) {
@@ -217,7 +217,7 @@
         return false;
     }
     if (m_table && parts->version <= m_table->version()) {
-        // Up to there is nothing newer: after the return of a store from a copy, too.
+        // There is nothing newer up to this position, also if the store was restored from a copy.
         m_settingsPosition = std::max(m_settingsPosition, loaded.position);
         return true;
     }
@@ -240,8 +240,8 @@
         m_serviceTable.service(service.name).placement.setColdBound({ service.coldPerSecond, m_options.coldOvershoot, m_options.coldSlack, service.coldDuration });
 }
 
-// An answer that was long on its way may be older than what other daemons have
-// proven meanwhile, and must not take that back.
+// A delayed answer of the store may be older than what other daemons have confirmed meanwhile, and
+// must not replace it.
 bool Gateway::updateUpstreams(std::vector<UpstreamChange> const& changes, bool isWhole, Instant readSentAt, bool isAfterReturn)
 {
     auto const known = m_directory.age().provenAt();
@@ -284,8 +284,8 @@
     return { settingsVersion(), m_directory.hash(), m_registry.version() };
 }
 
-// Whatever is newer or differs is asked for; the store is read where that does not
-// bring it in time.
+// State that is newer or differs is fetched from the other daemon. If newer settings do not arrive
+// in time, the store is read.
 bool Gateway::needsStateFrom(StateSummary const& other)
 {
     if (other.settingsVersion > settingsVersion() && m_announcedVersion <= settingsVersion())
@@ -311,7 +311,7 @@
     m_directory.confirmWhole();
     m_tableAge.confirm(provenAt);
     m_emptiedHalls.confirm(provenAt);
-    // What the store had more than was known here is no newer configuration.
+    // The records that the store had in addition contain no newer configuration.
     if (m_storeIsAheadSince && provenAt >= *m_storeIsAheadSince)
         m_storeIsAheadSince.reset();
     updateReadiness();
@@ -344,8 +344,8 @@
     return state;
 }
 
-// The list of upstreams is taken only where it is proven to be newer than what
-// is known here; a configuration orders itself by its version.
+// The list of upstreams is used only if it was confirmed later than the local one. Configurations are
+// ordered by their version.
 void Gateway::mergeState(GatewayState const& state, std::optional<Instant> provenAt)
 {
     if (provenAt)
@@ -377,7 +377,7 @@
         replaceUpstreams("state", *state.upstreams, provenAt);
 }
 
-// The own beliefs may have changed since they were told what leads on from them.
+// This daemon's state may have changed since the other daemon computed the update for it.
 void Gateway::confirmIfCurrent(uint64_t settingsVersion, uint64_t upstreamsHash, Instant provenAt)
 {
     if (this->settingsVersion() >= settingsVersion && m_directory.hash() == upstreamsHash)
@@ -415,7 +415,7 @@
     m_serviceTable.setRetryShare(m_peers.share());
 }
 
-// Time in which nobody waited is no silence of upstreams.
+// The time of a stall must not count as silence of upstreams, since nobody received their answers.
 void Gateway::handleStall(Microseconds stall)
 {
     if (stall > Microseconds(0))
@@ -439,8 +439,8 @@
     flushLog();
 }
 
-// While it is not ready, its answers close their connections: callers that keep
-// one open would otherwise stay with a daemon that cannot serve them.
+// While the daemon is not ready, connections are closed after each answer. Otherwise callers that
+// keep a connection open would stay with a daemon that cannot serve them.
 void Gateway::updateReadiness()
 {
     bool const isReadyNow = isReady();
@@ -501,7 +501,7 @@
 
 void Gateway::handle(std::shared_ptr<Exchange> const& exchange)
 {
-    // A belief grows too old by itself, between two ticks as well.
+    // State can also become too old between two ticks.
     handleStall(m_stallDetector.check(m_loop.now(), m_server.openExchanges()));
     updateReadiness();
     auto routed = route(exchange->call());
@@ -550,8 +550,8 @@
     return {};
 }
 
-// Requests with the same context go to the same service, so that a split keeps
-// contexts where they are.
+// Requests with the same context go to the same service, so that a route that is split between
+// services does not move contexts between them.
 std::string Gateway::serviceOf(Route const& route, PromptChain const& prompt) const
 {
     uint64_t sum = 0;
--- a/Services/stagepostd/Gateway.h
+++ b/Services/stagepostd/Gateway.h
@@ -4,70 +4,72 @@
 #include <LibMembership/UpstreamDirectory.h>
 #include <LibProxy/HttpServer.h>
 #include <LibProxy/Timer.h>
-#include <stagepostd/StallDetector.h>
-#include <stagepostd/GatewayRequestHandler.h>
 #include <stagepostd/GatewayOptions.h>
 #include <stagepostd/GatewayPeers.h>
+#include <stagepostd/GatewayRequestHandler.h>
 #include <stagepostd/ServerDrain.h>
 #include <stagepostd/SettingsLoader.h>
+#include <stagepostd/StallDetector.h>
 #include <variant>
 
 namespace Stagepost {
 
-// The daemon of one entry VM whose configuration, upstreams and spellings are
-// given from outside: whoever composes it feeds what the platform says into it.
+// The daemon of one entry VM. Its configuration, its upstreams and its wire formats come from
+// outside: the composing program passes on what it reads from the platform.
 class Gateway {
 public:
     Gateway(EventLoop&, GatewayOptions, GatewayDialect, GatewayRegistryHooks, RandomHook);
     Gateway(Gateway const&) = delete;
     Gateway& operator=(Gateway const&) = delete;
 
-    // Binds its sockets. Error: Unreachable.
+    // Binds the sockets. Error: Unreachable.
     Result<void> start();
 
-    // What a read of the store gave, with the moment at which it was sent. A
-    // configuration counts only if its version is higher than the one in force:
-    // within one life of the process it never goes back. One that cannot be read
-    // leaves the one before in force, and proves nothing. It is read beside the requests
-    // and in force some turns of the loop later.
-    // The position is where the platform's records go on, or 0.
+    // Handles the result of a read of the store, which was sent at the given time. A configuration
+    // is applied only if its version is higher than the one in force, so the version never decreases
+    // while the process runs. If the configuration cannot be parsed, the one in force stays and is not
+    // confirmed. Parsing is asynchronous, so the configuration is in force only some iterations of the
+    // event loop later. The position is that of the platform's records which follow, or 0.
     void updateSettings(std::optional<std::string> text, Instant readSentAt, uint64_t position = 0);
 
-    // The orders to empty halls that a read of the store added, or all that there are, and up
-    // to where they are known. After the return of a store that has lost its last seconds,
-    // what is missing may come back.
+    // Handles the orders to empty halls that a read of the store returned, which are all orders or
+    // those since the last read, and the position up to which they are known. After the return of a
+    // store that has lost its last seconds, missing orders may be written again.
     void updateHallOrders(std::vector<HallOrder> const&, bool isWhole, Instant readSentAt, uint64_t position, bool isAfterReturn);
 
-    // The changes since the last read, or all upstreams that there are. False where
-    // other daemons have proven newer ones meanwhile: the read is not taken, and all
-    // have to be read anew.
-    // After the return of a store that has lost its last seconds, what is missing may come back.
+    // Handles the changes since the last read, or the list of all upstreams. Returns false if the
+    // read is older than what other daemons have confirmed meanwhile: it is ignored, and the whole
+    // list has to be read again. After the return of a store that has lost its last seconds, missing
+    // records may be written again.
     bool updateUpstreams(std::vector<UpstreamChange> const&, bool isWhole, Instant readSentAt, bool isAfterReturn = false);
 
-    // Whether this daemon is to read the store now, or others do it for it.
+    // Whether this daemon has to read the store now: it does so for others, or its state is stale.
     bool needsStore() const { return m_peers.needsStore(m_loop.now()); }
-    // Whether others may be waiting for what it knows.
+    // Whether other daemons may be waiting for the state of this one.
     bool isRelay() const { return m_peers.isRelay(); }
-    // Whether it speaks with other daemons, and so knows that nobody reads for it.
+    // Whether it exchanges messages with other daemons, and so can tell whether one reads the store
+    // for it.
     bool hasJoined() const { return m_peers.hasJoined(); }
-    // Another daemon has told of a newer configuration, and could not give it in time.
+    // Whether to read the configuration: the store is to be read anyway, or a newer configuration is
+    // known to exist and did not arrive from another daemon in time.
     bool needsSettings() const { return needsStore() || isSettingsOverdue(); }
-    // Whether the store's records are needed, or only whether any were added: then others
-    // tell what they hold.
+    // Whether the store's records have to be read. Otherwise it is enough to see whether any were
+    // added, since their contents come from other daemons.
     bool needsSettingsRecords() const { return m_peers.isReader() || isSettingsOverdue(); }
-    // The store has records behind the position that were not read.
+    // The store has records after the current position that were not read.
     void notifyNewerSettings();
-    // Where the platform's records go on behind the configuration in force and the orders
-    // that are known; 0 where that is not known.
+    // The position in the platform's records up to which both the configuration in force and the
+    // orders to empty halls are known; 0 if unknown.
     uint64_t settingsPosition() const { return std::min(m_settingsPosition, m_emptiedHalls.state().position); }
-    // Whether this daemon is to read the registry now, or others tell it.
+    // Whether this daemon has to read the registry now: it does so for others, or they did not send
+    // it all changes in time.
     bool needsRegistry() const { return m_peers.needsRegistry(m_loop.now()); }
-    // Begins to speak with other daemons, and takes who they are.
+    // Starts to exchange messages with other daemons, and sets which ones there are.
     Result<void> join(GatewayPeer const& self, std::string const& key, Incarnation incarnation);
     void setPeers(std::vector<GatewayPeer> const&);
 
-    // Turns unready at once, takes requests until the balancer has noticed, then
-    // finishes what runs and calls back.
+    // Becomes unready at once, accepts requests until the load balancer has noticed, then finishes
+    // open requests and calls back.
     void drain(std::function<void()> drained);
 
     bool isReady() const;
@@ -103,7 +105,7 @@
     std::optional<Instant> provenAt() const;
     void confirmState(Instant);
     void logUpstreamsIfChanged(std::string_view source, uint64_t hashBefore);
-    // The source is for the log.
+    // The source is only logged.
     void replaceUpstreams(std::string_view source, std::vector<UpstreamRecord> const& all, Instant provenAt, bool isAfterReturn = false);
     void applyChanges(std::string_view source, std::vector<UpstreamChange> const&, Instant provenAt);
     GatewayState state(StateSummary const& known) const;
@@ -124,17 +126,18 @@
     RandomHook m_random;
     Metrics m_metrics;
     std::shared_ptr<RouteTable const> m_table;
-    // For other daemons.
+    // Deltas that are sent to other daemons.
     SettingsHistory m_settingsHistory;
     ProvenAge m_tableAge;
     SettingsLoader m_settingsLoader;
-    // Reads after the one whose configuration is not in force yet: they prove it then.
+    // When the last read without a newer configuration was sent, while one is still waiting or
+    // being parsed. It confirms that configuration once it is in force.
     std::optional<Instant> m_confirmAfterLoad;
     uint64_t m_announcedVersion { 0 };
     Instant m_announcedSince;
     uint64_t m_settingsPosition { 0 };
     std::optional<Instant> m_storeIsAheadSince;
-    // The fleet's from the moment at which it is known.
+    // Derived from the fleet's key once that is known; random until then.
     FingerprintKey m_fingerprintKey;
     CrashSuspects m_suspects;
     ServiceTable m_serviceTable;
