--- a/Services/stagepostd/Gateway.cpp
+++ b/Services/stagepostd/Gateway.cpp
@@ -131,10 +131,10 @@
         m_peers.stateChanged(m_loop.now());
 }
 
-void Gateway::mergeEmptiedHalls(EmptiedHallsState const& told, std::optional<Instant> provenAt)
+void Gateway::mergeEmptiedHalls(EmptiedHallsState const& received, std::optional<Instant> provenAt)
 {
     auto const before = m_emptiedHalls.state().halls;
-    m_emptiedHalls.takeTold(told, provenAt);
+    m_emptiedHalls.takeTold(received, provenAt);
     if (before != m_emptiedHalls.state().halls)
         m_peers.stateChanged(m_loop.now());
 }
