--- a/Tests/platform/TestSettingsHistory.cpp
+++ b/Tests/platform/TestSettingsHistory.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::string noise(size_t size, uint64_t seed)
+std::string randomText(size_t size, uint64_t seed)
 {
     std::mt19937_64 random(seed);
     std::string text;
@@ -52,7 +52,7 @@
     BOOST_TEST(!SettingsHistory().applyUpdate(change).has_value());
     BOOST_TEST(sender.updateSince(5).steps.empty());
     // Larger than the limit for a link between daemons.
-    sender.add(6, makeSettingsText(noise(200000, 1)), {});
+    sender.add(6, makeSettingsText(randomText(200000, 1)), {});
     BOOST_TEST(sender.updateSince(0).steps.empty());
     BOOST_TEST(sender.updateSince(3).steps.empty());
     BOOST_TEST(!receiver.applyUpdate(sender.updateSince(0)).has_value());
@@ -78,19 +78,19 @@
 BOOST_AUTO_TEST_CASE(ReceivedDeltasArePassedOn)
 {
     SettingsHistory sender;
-    SettingsHistory between;
+    SettingsHistory relay;
     sender.add(1, makeSettingsText(text(1)), {});
-    between.add(1, makeSettingsText(text(1)), {});
+    relay.add(1, makeSettingsText(text(1)), {});
     for (uint64_t const version : { 2u, 4u, 7u }) {
         sender.add(version, makeSettingsText(text(version)), {});
-        auto const update = sender.updateSince(between.version());
-        between.add(version, makeSettingsText(between.applyUpdate(update).value()), update);
+        auto const update = sender.updateSince(relay.version());
+        relay.add(version, makeSettingsText(relay.applyUpdate(update).value()), update);
     }
-    BOOST_TEST((between.updateSince(1).steps == sender.updateSince(1).steps));
-    BOOST_TEST(between.updateSince(2).steps.size() == 2u);
+    BOOST_TEST((relay.updateSince(1).steps == sender.updateSince(1).steps));
+    BOOST_TEST(relay.updateSince(2).steps.size() == 2u);
     SettingsHistory last;
     last.add(2, makeSettingsText(text(2)), {});
-    BOOST_TEST(last.applyUpdate(between.updateSince(2)).value() == text(7));
+    BOOST_TEST(last.applyUpdate(relay.updateSince(2)).value() == text(7));
 }
 
 BOOST_AUTO_TEST_CASE(OldVersionGetsTheFullText)
--- a/Tests/platform/TestSettingsLoader.cpp
+++ b/Tests/platform/TestSettingsLoader.cpp
@@ -7,9 +7,9 @@
 
 // Parses a text of N letters in N steps, and fails at an 'x'.
 struct World {
-    SettingsSteps read(std::string const& text)
+    SettingsSteps parse(std::string const& text)
     {
-        begun.push_back(text);
+        started.push_back(text);
         return [this, text, at = size_t { 0 }]() mutable -> std::optional<Result<RouteTable::Parts>> {
             ++steps;
             if (at == text.size())
@@ -22,7 +22,7 @@
 
     SettingsLoader::PendingSettings pending(std::string const& text)
     {
-        return { makeSettingsText(text), {}, [this, text] { inForce.push_back(text); } };
+        return { makeSettingsText(text), {}, [this, text] { applied.push_back(text); } };
     }
 
     void run()
@@ -31,12 +31,12 @@
     }
 
     EventLoop loop;
-    std::vector<std::string> begun;
-    std::vector<std::string> taken;
-    std::vector<std::string> inForce;
+    std::vector<std::string> started;
+    std::vector<std::string> parsed;
+    std::vector<std::string> applied;
     size_t steps { 0 };
-    SettingsLoader loader { loop, { [this](SettingsText const& text) { return read(*text); }, [this](auto&& parts, auto const& pending) {
-                                       taken.push_back(*pending.text);
+    SettingsLoader loader { loop, { [this](SettingsText const& text) { return parse(*text); }, [this](auto&& parts, auto const& pending) {
+                                       parsed.push_back(*pending.text);
                                        return parts.has_value(); } } };
 };
 
@@ -58,7 +58,7 @@
     world.loop.post([&] { stepsWhenOthersRan = world.steps; });
     world.run();
     BOOST_TEST(stepsWhenOthersRan < 200u);
-    BOOST_TEST(world.inForce.size() == 1u);
+    BOOST_TEST(world.applied.size() == 1u);
     BOOST_TEST(!world.loader.isBusy());
 }
 
@@ -67,11 +67,11 @@
     World world;
     auto const first = std::string(300, 'a');
     world.loader.load(world.pending(first));
-    world.loader.load(world.pending("overtaken"));
+    world.loader.load(world.pending("superseded"));
     world.loader.load(world.pending("newest"));
     world.run();
-    BOOST_TEST((world.begun == Texts { first, "newest" }));
-    BOOST_TEST((world.inForce == Texts { first, "newest" }));
+    BOOST_TEST((world.started == Texts { first, "newest" }));
+    BOOST_TEST((world.applied == Texts { first, "newest" }));
 }
 
 // Otherwise changes in quick succession could keep any of them from taking effect.
@@ -80,12 +80,12 @@
     World world;
     auto const first = std::string(300, 'a');
     world.loader.load(world.pending(first));
-    for (size_t round = 0; round < 20 && world.taken.empty(); ++round) {
+    for (size_t round = 0; round < 20 && world.parsed.empty(); ++round) {
         world.loader.load(world.pending("newer" + std::to_string(round)));
         world.loop.runFor(Milliseconds(1));
     }
-    BOOST_REQUIRE(!world.taken.empty());
-    BOOST_TEST(world.taken.front() == first);
+    BOOST_REQUIRE(!world.parsed.empty());
+    BOOST_TEST(world.parsed.front() == first);
 }
 
 BOOST_AUTO_TEST_CASE(ParseErrorDoesNotBlockTheNextConfiguration)
@@ -94,8 +94,8 @@
     world.loader.load(world.pending("aax"));
     world.loader.load(world.pending("bbb"));
     world.run();
-    BOOST_TEST((world.taken == Texts { "aax", "bbb" }));
-    BOOST_TEST((world.inForce == Texts { "bbb" }));
+    BOOST_TEST((world.parsed == Texts { "aax", "bbb" }));
+    BOOST_TEST((world.applied == Texts { "bbb" }));
 }
 
 // A configuration that arrives after one is parsed and before the next is started replaces the
@@ -108,7 +108,7 @@
     world.loader.load(world.pending(std::string(100, 'a')));
     world.loader.load(std::move(first));
     world.run();
-    BOOST_TEST(world.inForce.back() == "third");
+    BOOST_TEST(world.applied.back() == "third");
     BOOST_TEST(!world.loader.isBusy());
 }
 
