--- /dev/null
+++ b/Services/stagepostd/GatewayRequestHandler.h
@@ -0,0 +1,121 @@
+#pragma once
+
+#include <LibBase/FingerprintKey.h>
+#include <LibBase/Metrics.h>
+#include <LibBase/ProvenAge.h>
+#include <LibProxy/EventLoop.h>
+#include <LibProxy/Exchange.h>
+#include <LibRouting/RequestAttempts.h>
+#include <LibSettings/RouteTable.h>
+#include <memory>
+#include <stagepostd/CrashDetector.h>
+#include <stagepostd/GatewayDialect.h>
+#include <stagepostd/GatewayPeers.h>
+#include <stagepostd/ServiceTable.h>
+
+namespace Stagepost {
+
+// The parts of a gateway that handling a request needs.
+struct GatewayServices {
+    EventLoop& loop;
+    Metrics& metrics;
+    ServiceTable& serviceTable;
+    CrashDetector& crashDetector;
+    GatewayPeers& peers;
+    GatewayDialect const& dialect;
+    // Whether the configuration in force is recent enough to accept keys.
+    std::function<bool()> areKeysFresh;
+    // Whether the daemon's state must be confirmed after a long stall before it may be used.
+    std::function<bool()> needsRevalidation;
+    // The proven age of the configuration, which is only logged.
+    std::function<Microseconds()> settingsAge;
+    // This daemon's share of the fleet, from 0 to 1.
+    std::function<double()> share;
+    std::function<RequestFingerprint(RequestTraits const&)> fingerprintOf;
+};
+
+// A caller's request together with its route and organisation.
+struct RoutedRequest {
+    GatewayCall call;
+    // Keeps the route alive when a newer configuration replaces the table.
+    std::shared_ptr<RouteTable const> table;
+    Route const* route { nullptr };
+    std::string service;
+    std::string organisation;
+    unsigned priority { 5 };
+    bool needsKey { false };
+    Instant receivedAt;
+};
+
+// Handles one request: chooses an upstream, forwards the request, and retries it at another upstream
+// if it fails and may be repeated.
+class GatewayRequestHandler : public std::enable_shared_from_this<GatewayRequestHandler> {
+public:
+    GatewayRequestHandler(GatewayServices const&, std::shared_ptr<Exchange>, RoutedRequest);
+
+    void start();
+
+private:
+    void placeRequest();
+    // Whether the request may be sent now. If not, it is refused.
+    bool checkMaySend();
+    ServicePlacement::Request wish() const;
+    bool needsOwner(ServicePlacement::Request const&) const;
+    void askOwners(ServicePlacement::Request const&);
+    void handleOwnerReply(LedgerExchange::Outcome const&);
+    void findHolders(uint64_t context, ServicePlacement::Choice const&);
+    void sendWithContextSource(ServicePlacement::Choice, std::vector<UpstreamId> const& holders);
+    // Whether the caller has left, or the request may no longer be sent, since an answer of another
+    // daemon was awaited. If so, the request is finished.
+    bool endedWhileWaiting();
+    // Stops counting the request as in flight: it has ended, or was not sent.
+    void releaseInFlight();
+    void placeWithoutOwners(ServicePlacement::Request const&);
+    void placeByOwnCounts(ServicePlacement::Request const&);
+    Refusal noUpstreamRefusal() const;
+    Refusal loadBoundRefusal() const;
+    void send(std::optional<ServicePlacement::Choice> const&);
+    size_t idleConnectionLimit(Service const*) const;
+    GatewaySend buildSend(ServicePlacement::Choice const&, ServiceTable::Target const&, Service const*, Instant now);
+    ForwardPlan buildForwardPlan(ServicePlacement::Choice const&, ServiceTable::Target const&, Instant now);
+    void forward(ServicePlacement::Choice const&, ServiceTable::Target const&);
+    void recordSign(UpstreamId, UpstreamSign);
+    std::optional<HeadRejection> checkAnswerHead(UpstreamId, unsigned status, HttpFields const&);
+    // The upstream asks to get no requests for this long.
+    void handleRestRequest(UpstreamId, Milliseconds);
+    size_t sizeForRetry(Instant now) const;
+    bool couldSendAgain() const;
+    void handleForwardResult(UpstreamId, ForwardResult const&);
+    void recordOutcome(UpstreamId, ForwardResult const&);
+    // Reports an answer that broke off to the crash detector.
+    void reportBrokenAnswer(UpstreamId);
+    void failRequest(ForwardResult const&);
+    void refuse(Refusal const&);
+    RequestFingerprint fingerprint() const;
+    // The verdict is the one that the caller gets, or would get if it had not left.
+    void log(std::string_view outcome, ForwardResult const&, std::string_view reason, Verdict) const;
+
+    GatewayServices const& m_services;
+    std::shared_ptr<Exchange> m_exchange;
+    RoutedRequest m_request;
+    ServiceTable::Entry& m_service;
+    RequestAttempts m_attempts;
+    std::shared_ptr<EventProgress> m_progress;
+    std::string m_instance;
+    // Instance from which the upstream may copy the context; empty if there is none.
+    std::string m_contextSource;
+    PlacementReason m_placement;
+    // How much longer, when the request was sent, the upstream wanted no requests.
+    Microseconds m_restLeft { 0 };
+    // The upstream at which owners count the request as in flight.
+    std::optional<UpstreamId> m_countedUpstream;
+    // When the request was last sent.
+    Instant m_sentAt;
+    // When the upstream last gave a sign of life, or the request was last sent, whichever is later.
+    Instant m_lastSignAt;
+    std::optional<Refusal> m_lastFailure;
+    // Computed when first needed, since few requests fail.
+    mutable std::optional<RequestFingerprint> m_fingerprint;
+};
+
+}
--- /dev/null
+++ b/Services/stagepostd/ServiceTable.h
@@ -0,0 +1,99 @@
+#pragma once
+
+#include <LibMembership/UpstreamDirectory.h>
+#include <LibProxy/Endpoint.h>
+#include <LibRouting/AdmissionGate.h>
+#include <LibRouting/RetryBudget.h>
+#include <LibRouting/ServicePlacement.h>
+#include <map>
+#include <memory>
+#include <set>
+
+namespace Stagepost {
+
+// The services of a gateway, each with its upstreams, their load and health, its retry budget and
+// its admission control.
+class ServiceTable {
+public:
+    struct Bounds {
+        std::string hall;
+        ServicePlacement::Bounds placement;
+        RetryBudget::Bounds retries;
+    };
+
+    struct Entry {
+        ServicePlacement placement;
+        RetryBudget retries;
+        AdmissionGate gate;
+    };
+
+    // Called when an upstream's process is gone or was replaced, so that idle connections to it can
+    // be closed.
+    using UpstreamRemovedCallback = std::function<void(Endpoint const&)>;
+
+    struct Target {
+        std::string instance;
+        Endpoint endpoint;
+        std::string service;
+        HallId hall;
+        // From the upstream's record.
+        size_t slots { 1 };
+        bool isLeaving { false };
+    };
+
+    ServiceTable(Bounds bounds, RandomHook random, UpstreamRemovedCallback upstreamRemoved)
+        : m_bounds(std::move(bounds))
+        , m_random(std::move(random))
+        , m_upstreamRemoved(std::move(upstreamRemoved))
+    {
+    }
+
+    // Adds, updates or removes an upstream.
+    void apply(UpstreamChange const&, Instant now);
+
+    // Operators empty the hall, or cancel that. Upstreams of an emptied hall get no further requests,
+    // but other upstreams can still copy contexts from them. After the cancellation they are treated
+    // as just started: they may be cold, and all their contexts would return at once.
+    void setHallEmptied(HallId, bool isEmptied, Instant now);
+    // The upstream reports that it stays cold for this long.
+    void markCold(UpstreamId, Milliseconds left, Instant now);
+
+    // The upstream announces in an answer that it is leaving. A record never revokes this, since it
+    // may be older than the answer, or restored by a store that has lost its last seconds.
+    void markLeaving(UpstreamId, Instant now);
+
+    // This daemon's share of the fleet's retry budget, from 0 to 1.
+    void setRetryShare(double);
+
+    // Creates the service on first use. Services are never removed.
+    Entry& service(std::string const& name);
+    Target const* target(UpstreamId) const;
+    // The id of the upstream's current process.
+    std::optional<UpstreamId> currentId(std::string const& instance) const;
+    // Tracks which upstreams and halls no longer answer.
+    SilenceDetector& silence() { return m_silence; }
+    std::map<std::string, std::unique_ptr<Entry>> const& services() const { return m_services; }
+    size_t upstreamCount() const { return m_targets.size(); }
+
+private:
+    void remove(std::string const& instance);
+    void updatePlacement(UpstreamId, Target const&);
+    void applyColdTime(UpstreamRecord const&, Instant now);
+    void removeReplaced(UpstreamRecord const&);
+
+    Bounds m_bounds;
+    RandomHook m_random;
+    UpstreamRemovedCallback m_upstreamRemoved;
+    double m_retryShare { 0 };
+    SilenceDetector m_silence;
+    std::map<std::string, std::unique_ptr<Entry>> m_services;
+    std::map<UpstreamId, Target> m_targets;
+    std::set<HallId> m_emptiedHalls;
+    // Upstreams that announced in an answer that they are leaving, with the time of the first such
+    // answer.
+    std::map<UpstreamId, Instant> m_announcedLeaving;
+    // The id of each upstream's current process, by instance name.
+    std::map<std::string, UpstreamId> m_currentIds;
+};
+
+}
--- a/Tests/platform/TestCrashWatch.cpp
+++ b/Tests/platform/TestCrashDetector.cpp
@@ -1,5 +1,5 @@
 #include <boost/test/unit_test.hpp>
-#include <stagepostd/CrashWatch.h>
+#include <stagepostd/CrashDetector.h>
 
 using namespace Stagepost;
 
@@ -8,30 +8,30 @@
 RequestFingerprint const request { 77 };
 UpstreamId const upstream { 10 };
 
-// Ports answer when the test says so.
+// Probes are answered by the test.
 struct World {
     EventLoop loop;
     Metrics metrics;
     CrashSuspects suspects { VMId(1) };
     std::vector<PortProbe::Callback> probes;
     std::vector<RequestFingerprint> seen;
-    CrashWatch watch { loop, metrics, suspects,
+    CrashDetector detector { loop, metrics, suspects,
         { [this](Endpoint const&, PortProbe::Callback callback) { probes.push_back(std::move(callback)); }, [this](RequestFingerprint fingerprint) { seen.push_back(fingerprint); } } };
 
-    void breakOff(RequestFingerprint fingerprint) { watch.brokeOff({ fingerprint, upstream, "book-1", { "127.0.0.1", 1 } }); }
+    void breakOff(RequestFingerprint fingerprint) { detector.requestBroken({ fingerprint, upstream, "book-1", { "127.0.0.1", 1 } }); }
     void answerProbe(PortState state) { std::exchange(probes, {}).front()(state); }
 };
 
 }
 
-BOOST_AUTO_TEST_SUITE(CrashWatchTests)
+BOOST_AUTO_TEST_SUITE(CrashDetectorTests)
 
-BOOST_AUTO_TEST_CASE(AClosedPortBooksTheEndOnAllThatWasThere)
+BOOST_AUTO_TEST_CASE(ClosedPortRecordsACrashForAllBrokenRequests)
 {
     World world;
     world.breakOff(request);
     world.breakOff(RequestFingerprint(78));
-    // One question for both.
+    // One probe for both requests.
     BOOST_TEST(world.probes.size() == 1u);
     world.answerProbe(PortState::Closed);
     BOOST_TEST(world.suspects.endCount(request) == 1u);
@@ -39,51 +39,51 @@
     BOOST_TEST(world.seen.size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(AnOpenPortAndSilenceBookNothing)
+BOOST_AUTO_TEST_CASE(OpenOrSilentPortRecordsNoCrash)
 {
     for (auto const state : { PortState::Open, PortState::Silent }) {
         World world;
         world.breakOff(request);
         world.answerProbe(state);
-        BOOST_TEST(!world.watch.hasSuspects());
+        BOOST_TEST(!world.detector.hasSuspects());
     }
 }
 
-// The port may be closed a moment after the connections.
-BOOST_AUTO_TEST_CASE(AnOpenPortIsAskedOnceMore)
+// The port may be closed a moment later than the connections.
+BOOST_AUTO_TEST_CASE(OpenPortIsProbedAgain)
 {
     World world;
     world.breakOff(request);
     world.answerProbe(PortState::Open);
-    world.watch.tick();
+    world.detector.tick();
     BOOST_TEST(world.probes.empty());
     world.loop.runFor(Milliseconds(60));
-    world.watch.tick();
+    world.detector.tick();
     BOOST_REQUIRE(world.probes.size() == 1u);
     world.answerProbe(PortState::Closed);
     BOOST_TEST(world.suspects.endCount(request) == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(AnotherStartInItsPlaceBooksTheEnd)
+BOOST_AUTO_TEST_CASE(RestartRecordsACrash)
 {
     World world;
     world.breakOff(request);
     world.answerProbe(PortState::Open);
-    world.watch.restarted(UpstreamId(11));
-    BOOST_TEST(!world.watch.hasSuspects());
-    world.watch.restarted(upstream);
+    world.detector.upstreamRestarted(UpstreamId(11));
+    BOOST_TEST(!world.detector.hasSuspects());
+    world.detector.upstreamRestarted(upstream);
     BOOST_TEST(world.suspects.endCount(request) == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerClearsAndIsTold)
+BOOST_AUTO_TEST_CASE(AnswerClearsTheEvidenceAndIsShared)
 {
     World world;
     world.breakOff(request);
     world.answerProbe(PortState::Closed);
-    world.watch.answered(request);
+    world.detector.requestAnswered(request);
     BOOST_TEST(world.suspects.endCount(request) == 0u);
     BOOST_TEST(world.seen.size() == 2u);
-    world.watch.answered(request);
+    world.detector.requestAnswered(request);
     BOOST_TEST(world.seen.size() == 2u);
 }
 
--- a/Tests/platform/TestServiceBoard.cpp
+++ b/Tests/platform/TestServiceTable.cpp
@@ -1,5 +1,5 @@
 #include <boost/test/unit_test.hpp>
-#include <stagepostd/ServiceBoard.h>
+#include <stagepostd/ServiceTable.h>
 
 using namespace Stagepost;
 
@@ -11,18 +11,18 @@
 }
 
 struct World {
-    void put(UpstreamRecord const& record) { board.apply({ record.instance, record }, now); }
+    void put(UpstreamRecord const& record) { table.apply({ record.instance, record }, now); }
 
     std::optional<ServicePlacement::Choice> choose(std::vector<UpstreamId> excluded = {})
     {
         ServicePlacement::Request wish;
         wish.excluded = std::move(excluded);
-        return board.service("book").placement.choose(wish, now);
+        return table.service("book").placement.choose(wish, now);
     }
 
     void fail(UpstreamId id, size_t times)
     {
-        auto& placement = board.service("book").placement;
+        auto& placement = table.service("book").placement;
         for (size_t count = 0; count < times; ++count) {
             placement.started(id);
             placement.finished(id, SendOutcome::NoUsableAnswer, Milliseconds(1), Milliseconds(1), now);
@@ -31,59 +31,59 @@
 
     Instant now { Seconds(10) };
     std::vector<std::string> dropped;
-    ServiceBoard board { { "north", {}, {} }, [] { return 7u; }, [this](Endpoint const& endpoint) { dropped.push_back(endpoint.toString()); } };
+    ServiceTable table { { "north", {}, {} }, [] { return 7u; }, [this](Endpoint const& endpoint) { dropped.push_back(endpoint.toString()); } };
 };
 
 }
 
-BOOST_AUTO_TEST_SUITE(ServiceBoardTests)
+BOOST_AUTO_TEST_SUITE(ServiceTableTests)
 
-// The hall is emptied before the upstream's record comes, and after it.
-BOOST_AUTO_TEST_CASE(UpstreamsOfAnEmptiedHallGetNothing)
+// One upstream's record arrives before the order to empty the hall, the other's after it.
+BOOST_AUTO_TEST_CASE(UpstreamsOfAnEmptiedHallGetNoRequests)
 {
     World world;
     auto const north = HallId::fromName("north");
     world.put(upstream("a", 5));
-    world.board.setEmptied(north, true, world.now);
+    world.table.setHallEmptied(north, true, world.now);
     world.put(upstream("b", 6));
     BOOST_TEST(!world.choose().has_value());
-    world.board.setEmptied(north, false, world.now);
+    world.table.setHallEmptied(north, false, world.now);
     BOOST_TEST(world.choose().has_value());
 }
 
-// Neither what its record says later, nor that the record was gone meanwhile, takes it back.
-BOOST_AUTO_TEST_CASE(AnUpstreamThatSaidItLeavesGetsNothingWhateverItsRecordSays)
+// Neither a later record nor the loss of the record in between revokes the announcement.
+BOOST_AUTO_TEST_CASE(AnnouncedLeavingOverridesTheRecord)
 {
     World world;
     world.put(upstream("a", 5));
-    world.board.noteLeaving(upstream("a", 5).id(), world.now);
+    world.table.markLeaving(upstream("a", 5).id(), world.now);
     BOOST_TEST(!world.choose().has_value());
     world.put(upstream("a", 5));
     BOOST_TEST(!world.choose().has_value());
-    world.board.apply({ "a", {} }, world.now);
+    world.table.apply({ "a", {} }, world.now);
     world.put(upstream("a", 5));
     BOOST_TEST(!world.choose().has_value());
     world.put(upstream("a", 6));
     BOOST_TEST(world.choose().has_value());
 }
 
-// What leaves by itself stays out when its hall is taken back.
-BOOST_AUTO_TEST_CASE(AnUpstreamThatLeavesDoesNotComeBackWithItsHall)
+// An upstream that is leaving stays excluded when its hall is no longer emptied.
+BOOST_AUTO_TEST_CASE(LeavingUpstreamStaysExcludedWhenItsHallReturns)
 {
     World world;
     auto leaving = upstream("a", 5);
     leaving.isLeaving = true;
     world.put(leaving);
-    world.board.setEmptied(HallId::fromName("north"), true, world.now);
-    world.board.setEmptied(HallId::fromName("north"), false, world.now);
+    world.table.setHallEmptied(HallId::fromName("north"), true, world.now);
+    world.table.setHallEmptied(HallId::fromName("north"), false, world.now);
     BOOST_TEST(!world.choose().has_value());
 }
 
-// Without its owner's word nothing goes to a cold upstream: the other daemons' sends count.
-BOOST_AUTO_TEST_CASE(AColdUpstreamGetsNothingWithoutItsOwnersWord)
+// Only a cold upstream's owner knows how many requests all daemons send to it.
+BOOST_AUTO_TEST_CASE(ColdUpstreamNeedsAGrantOfItsOwner)
 {
     World world;
-    auto& placement = world.board.service("book").placement;
+    auto& placement = world.table.service("book").placement;
     placement.setColdStartLimit({ 9, 1.5, 5, Seconds(3) });
     auto cold = upstream("a", 5);
     cold.coldLeft = Milliseconds(2000);
@@ -99,91 +99,92 @@
     BOOST_TEST(world.choose().has_value());
 }
 
-// An owner keeps the bound where the upstream might be cold: that alone refuses nobody.
-BOOST_AUTO_TEST_CASE(CautionAloneRefusesNobody)
+// Owners apply the rate limit of cold upstreams also to upstreams that might be cold. That alone
+// must not refuse a request: an upstream that is only avoided is used if there is no other.
+BOOST_AUTO_TEST_CASE(AvoidedUpstreamIsUsedIfThereIsNoOther)
 {
     World world;
     auto const only = upstream("a", 5);
     auto cold = upstream("b", 6);
     cold.coldLeft = Milliseconds(2000);
-    world.board.service("book").placement.setColdStartLimit({ 9, 1.5, 5, Seconds(3) });
+    world.table.service("book").placement.setColdStartLimit({ 9, 1.5, 5, Seconds(3) });
     world.put(only);
     world.put(cold);
     ServicePlacement::Request wish;
     wish.avoided = { only.id(), cold.id() };
-    auto const choice = world.board.service("book").placement.choose(wish, world.now);
+    auto const choice = world.table.service("book").placement.choose(wish, world.now);
     BOOST_REQUIRE(choice.has_value());
     BOOST_TEST((choice->upstream == only.id()));
 }
 
-BOOST_AUTO_TEST_CASE(AnUpstreamIsWarmWhenItsRecordSaysSo)
+BOOST_AUTO_TEST_CASE(RecordWithoutColdTimeMakesTheUpstreamWarm)
 {
     World world;
-    world.board.service("book").placement.setColdStartLimit({ 9, 1.5, 5, Seconds(3) });
+    world.table.service("book").placement.setColdStartLimit({ 9, 1.5, 5, Seconds(3) });
     auto cold = upstream("a", 5);
     cold.coldLeft = Milliseconds(2000);
     world.put(cold);
     world.put(upstream("a", 5));
     BOOST_TEST(world.choose().has_value());
-    world.board.noteCold(cold.id(), Milliseconds(500), world.now);
+    world.table.markCold(cold.id(), Milliseconds(500), world.now);
     BOOST_TEST(!world.choose().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(AHallThatIsTakenBackCountsAsJustStarted)
+BOOST_AUTO_TEST_CASE(UpstreamsOfAReturningHallCountAsJustStarted)
 {
     World world;
-    world.board.service("book").placement.setColdStartLimit({ 9, 1.5, 5, Seconds(3) });
+    world.table.service("book").placement.setColdStartLimit({ 9, 1.5, 5, Seconds(3) });
     world.put(upstream("a", 5));
-    world.board.setEmptied(HallId::fromName("north"), true, world.now);
-    world.board.setEmptied(HallId::fromName("north"), false, world.now);
+    world.table.setHallEmptied(HallId::fromName("north"), true, world.now);
+    world.table.setHallEmptied(HallId::fromName("north"), false, world.now);
     BOOST_TEST(!world.choose().has_value());
     world.now += Seconds(3);
     BOOST_TEST(world.choose().has_value());
 }
 
-// An owner's leave that was given before the order is not used after it.
-BOOST_AUTO_TEST_CASE(AGrantEndsWithTheOrderToEmptyItsHall)
+// A grant that was given before the order to empty the hall is not used after it.
+BOOST_AUTO_TEST_CASE(OrderToEmptyAHallInvalidatesEarlierGrants)
 {
     World world;
     world.put(upstream("a", 5));
-    auto& placement = world.board.service("book").placement;
+    auto& placement = world.table.service("book").placement;
     ServicePlacement::Request wish;
     wish.context = 7;
     LedgerExchange::Outcome const granted { upstream("a", 5).id(), true, 1 };
     BOOST_TEST(placement.choiceFromOwners(wish, granted, world.now).has_value());
-    world.board.setEmptied(HallId::fromName("north"), true, world.now);
+    world.table.setHallEmptied(HallId::fromName("north"), true, world.now);
     BOOST_TEST(!placement.choiceFromOwners(wish, granted, world.now).has_value());
 }
 
-// What the process before did and held says nothing of the one that has its name now:
-// its breaker, what it has in flight, its silence and the connections to it.
-BOOST_AUTO_TEST_CASE(AnUpstreamThatStartsAgainIsJudgedAnew)
+// Circuit breaker, requests in flight, silence and idle connections of the earlier process do not
+// carry over to the new process of the same name.
+BOOST_AUTO_TEST_CASE(RestartResetsTheStateOfAnUpstream)
 {
     World world;
     auto const first = upstream("a", 5);
     auto const second = upstream("a", 6);
     world.put(first);
     world.fail(first.id(), 20);
-    world.board.silence().sent(first.id(), HallId::fromName("north"), world.now);
-    world.board.service("book").placement.started(first.id());
-    BOOST_TEST(world.board.service("book").placement.ownInFlight().size() == 1u);
+    world.table.silence().sent(first.id(), HallId::fromName("north"), world.now);
+    world.table.service("book").placement.started(first.id());
+    BOOST_TEST(world.table.service("book").placement.ownInFlight().size() == 1u);
     world.put(second);
     BOOST_TEST((world.dropped == std::vector<std::string> { "10.0.0.1:80" }));
-    BOOST_TEST(!world.board.target(first.id()));
-    BOOST_REQUIRE(world.board.target(second.id()));
-    BOOST_TEST(world.board.target(second.id())->instance == "a");
-    BOOST_TEST(world.board.service("book").placement.ownInFlight().empty());
-    BOOST_TEST(!world.board.silence().isSilent(second.id(), world.now + Seconds(5)));
+    BOOST_TEST(!world.table.target(first.id()));
+    BOOST_REQUIRE(world.table.target(second.id()));
+    BOOST_TEST(world.table.target(second.id())->instance == "a");
+    BOOST_TEST(world.table.service("book").placement.ownInFlight().empty());
+    BOOST_TEST(!world.table.silence().isSilent(second.id(), world.now + Seconds(5)));
     auto const chosen = world.choose();
     BOOST_REQUIRE(chosen);
     BOOST_TEST((chosen->upstream == second.id() && !chosen->needsNewConnection));
-    // A late end of a request to the one before changes nothing at this one.
+    // A request to the earlier process that ends late does not affect the new one.
     world.fail(first.id(), 5);
     BOOST_TEST((world.choose()->upstream == second.id()));
 }
 
-// Whoever failed at the process before may be sent to the new one: it is another.
-BOOST_AUTO_TEST_CASE(WhatFailedAtTheProcessBeforeMayGoToTheNewOne)
+// A request that failed at the earlier process may be sent to the new one.
+BOOST_AUTO_TEST_CASE(FailedRequestMayBeRetriedAtTheNewProcess)
 {
     World world;
     world.put(upstream("a", 5));
@@ -193,7 +194,7 @@
     BOOST_TEST((chosen->upstream == upstream("a", 6).id()));
 }
 
-BOOST_AUTO_TEST_CASE(AnUpstreamThatGoesOrChangesItsServiceIsNoneOfItAnyMore)
+BOOST_AUTO_TEST_CASE(UpstreamIsRemovedFromItsServiceWhenItMovesOrGoes)
 {
     World world;
     auto record = upstream("a", 5);
@@ -201,11 +202,11 @@
     record.service = "chat";
     world.put(record);
     BOOST_TEST(!world.choose());
-    BOOST_TEST(world.board.target(record.id())->service == "chat");
-    world.board.apply({ "a", {} }, world.now);
-    BOOST_TEST(!world.board.target(record.id()));
-    world.board.apply({ "a", {} }, world.now);
-    BOOST_TEST(world.board.upstreamCount() == 0u);
+    BOOST_TEST(world.table.target(record.id())->service == "chat");
+    world.table.apply({ "a", {} }, world.now);
+    BOOST_TEST(!world.table.target(record.id()));
+    world.table.apply({ "a", {} }, world.now);
+    BOOST_TEST(world.table.upstreamCount() == 0u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
