--- a/Libraries/LibRouting/RecentMap.h
+++ b/Libraries/LibRouting/BoundedMap.h
@@ -8,12 +8,13 @@
 
 namespace Stagepost {
 
-// A map with a bound that forgets what was put in the longest time ago.
+// A map of limited capacity that evicts the entry that was written longest ago. Reads do not
+// refresh an entry.
 template <typename Key, typename Value>
-class RecentMap {
+class BoundedMap {
 public:
-    explicit RecentMap(size_t most)
-        : m_most(most)
+    explicit BoundedMap(size_t capacity)
+        : m_capacity(capacity)
     {
     }
 
@@ -22,7 +23,7 @@
         erase(key);
         m_order.push_front({ key, std::move(value) });
         m_index[key] = m_order.begin();
-        if (m_order.size() > m_most)
+        if (m_order.size() > m_capacity)
             erase(m_order.back().first);
     }
 
@@ -46,7 +47,7 @@
 
 private:
     using Order = std::list<std::pair<Key, Value>>;
-    size_t m_most;
+    size_t m_capacity;
     Order m_order;
     std::unordered_map<Key, typename Order::iterator> m_index;
 };
--- a/Libraries/LibRouting/ContextHolders.cpp
+++ b/Libraries/LibRouting/ContextHolders.cpp
@@ -6,20 +6,20 @@
 
 namespace {
 
-    // Of one context: older ones are likely to have dropped it, or to be gone.
-    constexpr size_t mostHolders = 4;
+    // Older holders have probably evicted the context, or are gone.
+    constexpr size_t maxHoldersPerContext = 4;
 
 }
 
-std::vector<UpstreamId> ContextHolders::placed(uint64_t context, UpstreamId upstream)
+std::vector<UpstreamId> ContextHolders::recordPlacement(uint64_t context, UpstreamId upstream)
 {
-    auto before = m_holders.find(context).value_or(std::vector<UpstreamId> {});
-    std::erase(before, upstream);
-    auto now = before;
-    now.insert(now.begin(), upstream);
-    now.resize(std::min(now.size(), mostHolders));
-    m_holders.put(context, std::move(now));
-    return before;
+    auto previous = m_holders.find(context).value_or(std::vector<UpstreamId> {});
+    std::erase(previous, upstream);
+    auto updated = previous;
+    updated.insert(updated.begin(), upstream);
+    updated.resize(std::min(updated.size(), maxHoldersPerContext));
+    m_holders.put(context, std::move(updated));
+    return previous;
 }
 
 }
--- a/Libraries/LibRouting/ContextHolders.h
+++ b/Libraries/LibRouting/ContextHolders.h
@@ -1,28 +1,29 @@
 #pragma once
 
 #include <LibBase/Ids.h>
-#include <LibRouting/RecentMap.h>
+#include <LibRouting/BoundedMap.h>
 #include <cstdint>
 #include <vector>
 
 namespace Stagepost {
 
-// Which upstreams were sent a context, as far as one daemon was told. What upstreams drop to
-// make room is not known, so the newest is the one to go by.
+// Records which upstreams a context was placed on, as reported to this daemon. Evictions at the
+// upstreams are not reported, so the most recent holder is the most likely to have the context.
 class ContextHolders {
 public:
-    explicit ContextHolders(size_t mostContexts)
-        : m_holders(mostContexts)
+    explicit ContextHolders(size_t maxContexts)
+        : m_holders(maxContexts)
     {
     }
 
-    // The context goes to that upstream now. The result is who had it before, the newest first.
-    std::vector<UpstreamId> placed(uint64_t context, UpstreamId);
+    // Records that the context is placed on the upstream. Returns the other upstreams that it was
+    // placed on before, most recent first.
+    std::vector<UpstreamId> recordPlacement(uint64_t context, UpstreamId);
 
     size_t size() const { return m_holders.size(); }
 
 private:
-    RecentMap<uint64_t, std::vector<UpstreamId>> m_holders;
+    BoundedMap<uint64_t, std::vector<UpstreamId>> m_holders;
 };
 
 }
--- a/Libraries/LibRouting/ContextTable.cpp
+++ b/Libraries/LibRouting/ContextTable.cpp
@@ -2,7 +2,7 @@
 
 namespace Stagepost {
 
-void ContextTable::hold(ChatId chat, uint32_t tokens)
+void ContextTable::insert(ChatId chat, uint32_t tokens)
 {
     m_held.put(chat, tokens);
     m_moved.erase(chat);
--- a/Libraries/LibRouting/ContextTable.h
+++ b/Libraries/LibRouting/ContextTable.h
@@ -1,26 +1,26 @@
 #pragma once
 
 #include <LibBase/Ids.h>
-#include <LibRouting/RecentMap.h>
+#include <LibRouting/BoundedMap.h>
 #include <cstdint>
 #include <optional>
 
 namespace Stagepost {
 
-// Which chats one upstream is believed to hold, and where chats that were sent
-// on from it went. Both are beliefs: they come from grants and from cache events
-// that are late and have gaps, and the least recently used are forgotten first.
+// Tracks the chats whose context one upstream is assumed to cache, and the upstreams that chats
+// were moved to from it. Both are estimates: they come from grants and from cache events, which
+// are delayed and incomplete. Each map evicts the entry that was written longest ago.
 class ContextTable {
 public:
-    ContextTable(size_t mostChats, size_t mostMoved)
-        : m_held(mostChats)
-        , m_moved(mostMoved)
+    ContextTable(size_t maxChats, size_t maxMoved)
+        : m_held(maxChats)
+        , m_moved(maxMoved)
     {
     }
 
-    void hold(ChatId, uint32_t tokens);
-    void forget(ChatId chat) { m_held.erase(chat); }
-    bool holds(ChatId chat) const { return m_held.contains(chat); }
+    void insert(ChatId, uint32_t tokens);
+    void erase(ChatId chat) { m_held.erase(chat); }
+    bool contains(ChatId chat) const { return m_held.contains(chat); }
 
     void setMoved(ChatId chat, UpstreamId to) { m_moved.put(chat, to); }
     std::optional<UpstreamId> movedTo(ChatId chat) const { return m_moved.find(chat); }
@@ -30,8 +30,8 @@
     size_t movedSize() const { return m_moved.size(); }
 
 private:
-    RecentMap<ChatId, uint32_t> m_held;
-    RecentMap<ChatId, UpstreamId> m_moved;
+    BoundedMap<ChatId, uint32_t> m_held;
+    BoundedMap<ChatId, UpstreamId> m_moved;
 };
 
 }
--- a/Libraries/LibRouting/InFlightLedger.h
+++ b/Libraries/LibRouting/InFlightLedger.h
@@ -4,7 +4,7 @@
 #include <LibBase/Time.h>
 #include <LibRouting/ColdBound.h>
 #include <LibRouting/LedgerMessage.h>
-#include <LibRouting/RecentMap.h>
+#include <LibRouting/BoundedMap.h>
 #include <LibRouting/SendWindow.h>
 #include <cstddef>
 #include <functional>
@@ -93,7 +93,7 @@
         ColdBound toldBound;
         Instant toldColdUntil;
         // Which contexts went there.
-        RecentMap<uint64_t, bool> contexts { mostContextsKnown };
+        BoundedMap<uint64_t, bool> contexts { mostContextsKnown };
         // When this daemon was first asked, or told, about the upstream.
         Instant since;
         Instant heardAt;
--- a/Libraries/LibRouting/Rendezvous.cpp
+++ b/Libraries/LibRouting/Rendezvous.cpp
@@ -5,8 +5,8 @@
 
 namespace Stagepost {
 
-// The logarithm method of weighted rendezvous hashing: -weight / ln(u), with u
-// uniform between 0 and 1.
+// The logarithm method: the score is -weight / ln(u), where u is a hash of key and member that is
+// uniform in (0, 1).
 double rendezvousRank(uint64_t key, uint64_t member, double weight)
 {
     constexpr double scale = 1.0 / (uint64_t { 1 } << 53);
