--- a/Libraries/LibRouting/CrashExchange.cpp
+++ b/Libraries/LibRouting/CrashExchange.cpp
@@ -10,23 +10,23 @@
 
 namespace {
 
-    // Of the whole fleet, so that one may be away.
-    constexpr size_t homesInFleet { 2 };
-    // What the seal, UDP and IP add to a message.
+    // Two, so that one of them may be unreachable.
+    constexpr size_t fleetHomeCount { 2 };
+    // The overhead of the seal, UDP and IP per message.
     constexpr double headerBytes { 53 };
 
-    // Clocks are not compared between daemons: only ages go over the network.
+    // The clocks of daemons are not synchronized, so times are transmitted as ages.
     void write(MessageWriter& writer, CrashSuspect const& suspect, Instant now)
     {
         writer.id(suspect.request);
         writer.number(suspect.clearedAt ? 1 : 0);
         if (suspect.clearedAt)
             writer.duration(now - *suspect.clearedAt);
-        writer.number(suspect.ends.size());
-        for (auto const& end : suspect.ends) {
-            writer.id(end.upstream);
-            writer.id(end.seenBy);
-            writer.duration(now - end.at);
+        writer.number(suspect.crashes.size());
+        for (auto const& crash : suspect.crashes) {
+            writer.id(crash.upstream);
+            writer.id(crash.observer);
+            writer.duration(now - crash.observedAt);
         }
     }
 
@@ -39,21 +39,21 @@
         auto const count = reader.count();
         for (size_t index = 0; index < count && !reader.failed(); ++index) {
             auto const upstream = reader.id<UpstreamId>();
-            auto const seenBy = reader.id<VMId>();
-            suspect.ends.push_back({ upstream, seenBy, now - reader.duration() });
+            auto const observer = reader.id<VMId>();
+            suspect.crashes.push_back({ upstream, observer, now - reader.duration() });
         }
         return suspect;
     }
 
-    // The first daemons in the request's rendezvous order.
-    std::vector<VMId> firstOf(std::vector<VMId> ids, RequestFingerprint request, size_t count)
+    // Returns the daemons with the highest rendezvous hashes for the request.
+    std::vector<VMId> highestRanked(std::vector<VMId> daemons, RequestFingerprint request, size_t count)
     {
-        count = std::min(count, ids.size());
-        std::partial_sort(ids.begin(), ids.begin() + static_cast<ptrdiff_t>(count), ids.end(), [request](VMId one, VMId other) {
+        count = std::min(count, daemons.size());
+        std::partial_sort(daemons.begin(), daemons.begin() + static_cast<ptrdiff_t>(count), daemons.end(), [request](VMId one, VMId other) {
             return mixHashes(request.value(), one.value()) > mixHashes(request.value(), other.value());
         });
-        ids.resize(count);
-        return ids;
+        daemons.resize(count);
+        return daemons;
     }
 
 }
@@ -62,9 +62,9 @@
 {
     m_peers = std::move(peers);
     std::erase_if(m_peers, [this](auto const& peer) { return peer.id == m_self.id; });
-    // Homes may have moved to daemons that know nothing yet.
-    for (auto& [request, telling] : m_tellings)
-        telling = { now, m_bounds.firstPause, telling.isWitness };
+    // Daemons that have become homes may not have the suspects yet.
+    for (auto& [request, announcement] : m_announcements)
+        announcement = { now, m_bounds.initialInterval, announcement.isObserver };
 }
 
 std::vector<VMId> CrashExchange::homesOf(RequestFingerprint request) const
@@ -76,50 +76,50 @@
         if (peer.hall == m_self.hall)
             hall.push_back(peer.id);
     }
-    auto homes = firstOf(std::move(fleet), request, homesInFleet);
-    auto const ofHall = firstOf(std::move(hall), request, 1);
-    homes.insert(homes.end(), ofHall.begin(), ofHall.end());
+    auto homes = highestRanked(std::move(fleet), request, fleetHomeCount);
+    auto const hallHomes = highestRanked(std::move(hall), request, 1);
+    homes.insert(homes.end(), hallHomes.begin(), hallHomes.end());
     return homes;
 }
 
-bool CrashExchange::concernsAll(CrashSuspect const& suspect) const
+bool CrashExchange::isFleetWide(CrashSuspect const& suspect) const
 {
-    return suspect.clearedAt || m_suspects.endCount(suspect.request) >= m_bounds.endsToldToAll;
+    return suspect.clearedAt || m_suspects.crashCount(suspect.request) >= m_bounds.fleetWideThreshold;
 }
 
-std::vector<VMId> CrashExchange::audienceOf(CrashSuspect const& suspect, bool isWitness) const
+std::vector<VMId> CrashExchange::recipientsOf(CrashSuspect const& suspect, bool isObserver) const
 {
-    std::vector<VMId> audience;
-    auto const add = [&audience](std::vector<VMId> const& ids) { audience.insert(audience.end(), ids.begin(), ids.end()); };
+    std::vector<VMId> recipients;
+    auto const add = [&recipients](std::vector<VMId> const& daemons) { recipients.insert(recipients.end(), daemons.begin(), daemons.end()); };
     auto const homes = homesOf(suspect.request);
-    if (isWitness)
+    if (isObserver)
         add(homes);
-    if (concernsAll(suspect)) {
+    if (isFleetWide(suspect)) {
         if (std::find(homes.begin(), homes.end(), m_self.id) != homes.end())
             add(m_hooks.relays());
-        add(m_hooks.askers());
+        add(m_hooks.subscribers());
     }
-    std::sort(audience.begin(), audience.end());
-    audience.erase(std::unique(audience.begin(), audience.end()), audience.end());
-    std::erase(audience, m_self.id);
-    return audience;
+    std::sort(recipients.begin(), recipients.end());
+    recipients.erase(std::unique(recipients.begin(), recipients.end()), recipients.end());
+    std::erase(recipients, m_self.id);
+    return recipients;
 }
 
-void CrashExchange::seen(RequestFingerprint request, Instant now)
+void CrashExchange::announce(RequestFingerprint request, Instant now)
 {
     auto const* suspect = m_suspects.find(request);
     if (!suspect)
         return;
-    auto& telling = m_tellings[request];
-    telling = { now, m_bounds.firstPause, true };
-    tell(*suspect, telling, now);
+    auto& announcement = m_announcements[request];
+    announcement = { now, m_bounds.initialInterval, true };
+    sendAnnouncement(*suspect, announcement, now);
 }
 
-void CrashExchange::earnCredit(Instant now)
+void CrashExchange::refillSendBudget(Instant now)
 {
-    if (m_creditedAt != Instant {})
-        m_credit = std::min(m_bounds.burstBytes, m_credit + asSeconds(now - m_creditedAt) * m_bounds.bytesPerSecond);
-    m_creditedAt = now;
+    if (m_refilledAt != Instant {})
+        m_sendBudget = std::min(m_bounds.maxBurstBytes, m_sendBudget + asSeconds(now - m_refilledAt) * m_bounds.bytesPerSecond);
+    m_refilledAt = now;
 }
 
 void CrashExchange::send(VMId to, std::vector<CrashSuspect const*> const& suspects, Instant now)
@@ -129,20 +129,20 @@
     for (auto const* suspect : suspects)
         write(writer, *suspect, now);
     auto bytes = writer.release();
-    m_credit -= headerBytes + static_cast<double>(bytes.size());
+    m_sendBudget -= headerBytes + static_cast<double>(bytes.size());
     m_hooks.send(to, std::move(bytes));
 }
 
-// What there is no credit for stays due.
-void CrashExchange::tell(CrashSuspect const& suspect, Telling& telling, Instant now)
+// If the send budget is exhausted, the announcement stays due.
+void CrashExchange::sendAnnouncement(CrashSuspect const& suspect, Announcement& announcement, Instant now)
 {
-    earnCredit(now);
-    if (m_credit <= 0)
+    refillSendBudget(now);
+    if (m_sendBudget <= 0)
         return;
-    for (auto const to : audienceOf(suspect, telling.isWitness))
+    for (auto const to : recipientsOf(suspect, announcement.isObserver))
         send(to, { &suspect }, now);
-    telling.nextAt = now + telling.pause;
-    telling.pause = std::min(2 * telling.pause, m_bounds.longestPause);
+    announcement.nextAt = now + announcement.interval;
+    announcement.interval = std::min(2 * announcement.interval, m_bounds.maxInterval);
 }
 
 Result<std::vector<RequestFingerprint>> CrashExchange::receive(VMId from, std::string_view bytes, Instant now)
@@ -153,88 +153,88 @@
     for (size_t index = 0; index < count && !reader.failed(); ++index)
         suspects.push_back(readSuspect(reader, now));
     if (!reader.finished())
-        return Error(ErrorCode::Malformed, "a message about crashes is not understood");
+        return Error(ErrorCode::Malformed, "malformed crash suspect message");
     if (suspects.empty()) {
-        if (auto const known = whatConcernsAll(); !known.empty())
-            send(from, known, now);
+        if (auto const snapshot = fleetWideSuspects(); !snapshot.empty())
+            send(from, snapshot, now);
     }
-    std::vector<RequestFingerprint> news;
-    for (auto const& told : suspects) {
-        if (!m_suspects.merge(told, now))
+    std::vector<RequestFingerprint> changed;
+    for (auto const& reported : suspects) {
+        if (!m_suspects.merge(reported, now))
             continue;
-        news.push_back(told.request);
-        auto const* suspect = m_suspects.find(told.request);
+        changed.push_back(reported.request);
+        auto const* suspect = m_suspects.find(reported.request);
         if (!suspect)
             continue;
-        auto& telling = m_tellings[told.request];
-        telling = { now, m_bounds.firstPause, telling.isWitness };
-        tell(*suspect, telling, now);
+        auto& announcement = m_announcements[reported.request];
+        announcement = { now, m_bounds.initialInterval, announcement.isObserver };
+        sendAnnouncement(*suspect, announcement, now);
     }
-    return news;
+    return changed;
 }
 
-// Those with the most ends.
-std::vector<CrashSuspect const*> CrashExchange::whatConcernsAll() const
+// Returns the fleet-wide suspects with the most crashes, up to the size of a snapshot.
+std::vector<CrashSuspect const*> CrashExchange::fleetWideSuspects() const
 {
     std::vector<CrashSuspect const*> suspects;
-    for (auto const& [request, suspect] : m_suspects.all()) {
-        if (concernsAll(suspect))
+    for (auto const& [request, suspect] : m_suspects.suspects()) {
+        if (isFleetWide(suspect))
             suspects.push_back(&suspect);
     }
-    auto const count = std::min(suspects.size(), m_bounds.suspectsToNewcomers);
+    auto const count = std::min(suspects.size(), m_bounds.maxSuspectsPerSnapshot);
     std::partial_sort(suspects.begin(), suspects.begin() + static_cast<ptrdiff_t>(count), suspects.end(), [](auto const* one, auto const* other) {
-        return one->ends.size() > other->ends.size();
+        return one->crashes.size() > other->crashes.size();
     });
     suspects.resize(count);
     return suspects;
 }
 
-// A daemon that is back from a cut asks a relay again.
-void CrashExchange::tellNewcomers(Instant now)
+// A daemon also becomes a new subscriber when it polls a relay again after a network partition.
+void CrashExchange::sendToNewSubscribers(Instant now)
 {
-    auto const askers = m_hooks.askers();
-    auto const known = std::exchange(m_knownAskers, askers);
-    std::vector<VMId> newcomers;
-    std::copy_if(askers.begin(), askers.end(), std::back_inserter(newcomers), [&known](auto asker) { return std::find(known.begin(), known.end(), asker) == known.end(); });
-    if (newcomers.empty())
+    auto const subscribers = m_hooks.subscribers();
+    auto const known = std::exchange(m_knownSubscribers, subscribers);
+    std::vector<VMId> newSubscribers;
+    std::copy_if(subscribers.begin(), subscribers.end(), std::back_inserter(newSubscribers), [&known](auto subscriber) { return std::find(known.begin(), known.end(), subscriber) == known.end(); });
+    if (newSubscribers.empty())
         return;
-    auto const suspects = whatConcernsAll();
-    for (auto const newcomer : newcomers) {
+    auto const suspects = fleetWideSuspects();
+    for (auto const subscriber : newSubscribers) {
         if (!suspects.empty())
-            send(newcomer, suspects, now);
+            send(subscriber, suspects, now);
     }
 }
 
-// Without it one that starts again under its name is told only when something is due: it ended a
-// further upstream meanwhile.
-void CrashExchange::askAtStart(Instant now)
+// Without these requests, a daemon that restarts under its name would learn of a suspect only at
+// the next repetition; a poison request crashed another upstream in that time.
+void CrashExchange::requestSnapshotsAtStart(Instant now)
 {
-    if (m_peers.empty() || m_asks == m_bounds.asksAtStart || now < m_nextAskAt)
+    if (m_peers.empty() || m_startupRequests == m_bounds.startupRequestCount || now < m_nextStartupRequestAt)
         return;
-    ++m_asks;
-    m_nextAskAt = now + m_bounds.firstPause;
+    ++m_startupRequests;
+    m_nextStartupRequestAt = now + m_bounds.initialInterval;
     std::vector<VMId> others;
     others.reserve(m_peers.size());
     for (auto const& peer : m_peers)
         others.push_back(peer.id);
-    for (auto const to : firstOf(std::move(others), RequestFingerprint(m_self.id.value()), m_bounds.askedAtStart))
+    for (auto const to : highestRanked(std::move(others), RequestFingerprint(m_self.id.value()), m_bounds.startupPeerCount))
         send(to, {}, now);
 }
 
 void CrashExchange::tick(Instant now)
 {
     m_suspects.prune(now);
-    earnCredit(now);
-    askAtStart(now);
-    tellNewcomers(now);
-    std::erase_if(m_tellings, [this](auto const& entry) { return !m_suspects.find(entry.first); });
-    for (auto& [request, telling] : m_tellings) {
-        if (now < telling.nextAt)
+    refillSendBudget(now);
+    requestSnapshotsAtStart(now);
+    sendToNewSubscribers(now);
+    std::erase_if(m_announcements, [this](auto const& entry) { return !m_suspects.find(entry.first); });
+    for (auto& [request, announcement] : m_announcements) {
+        if (now < announcement.nextAt)
             continue;
         auto const& suspect = *m_suspects.find(request);
-        bool const isOldChance = !concernsAll(suspect) && !suspect.ends.empty() && now - suspect.ends.back().at > m_bounds.toldAsChance;
-        if (!isOldChance)
-            tell(suspect, telling, now);
+        bool const isExpired = !isFleetWide(suspect) && !suspect.crashes.empty() && now - suspect.crashes.back().observedAt > m_bounds.coincidenceLifetime;
+        if (!isExpired)
+            sendAnnouncement(suspect, announcement, now);
     }
 }
 
--- a/Libraries/LibRouting/CrashExchange.h
+++ b/Libraries/LibRouting/CrashExchange.h
@@ -9,41 +9,42 @@
 
 namespace Stagepost {
 
-// Tells the daemons of a fleet which requests have ended upstreams. Each daemon sees a few of
-// those ends. It tells what it saw to the homes of the request: two daemons of the fleet and
-// one of its hall, which all agree on by rendezvous. Once two upstreams have ended under
-// a request its homes tell the relays of all halls, and each relay the daemons that
-// ask it. So an upstream that ends with 64 requests costs each daemon a few hundred bytes at any size
-// of the fleet, and what matters is known to all after three messages.
+// Disseminates crash suspects among the daemons of a fleet. Each daemon observes only some of the
+// crashes. It sends its observations to the homes of the request, which rendezvous hashing selects:
+// two daemons of the fleet and one of the observer's hall. Once a request has crashed two upstreams,
+// its homes send the suspect to the relays of all halls, and each relay sends it to its subscribers.
+// The crash of an upstream with 64 requests thus costs each daemon a few hundred bytes at any fleet
+// size, and a fleet-wide suspect reaches every daemon after three messages.
 //
-// Messages may be lost, and daemons start or come back: everything is told again, ever
-// more rarely, and whoever starts asks some others, by a message that tells nothing.
+// Since messages may be lost and daemons may restart, each announcement is repeated with exponential
+// backoff, and a daemon that starts requests a snapshot from some others by sending an empty message.
 class CrashExchange {
 public:
     struct Bounds {
-        // From one telling to the next, doubled each time.
-        Microseconds firstPause { 250000 };
-        Microseconds longestPause { 16000000 };
-        // Of a request under which one upstream has ended: all but a few are there by chance.
-        Microseconds toldAsChance { 30000000 };
-        // From this many ends on all are told.
-        size_t endsToldToAll { 2 };
-        // A daemon has 9 KB/s for control, most of which counts of load may take. A telling
-        // to 42 relays, as at 330 daemons, takes 5 KB at once.
+        // The interval between repetitions, which doubles each time.
+        Microseconds initialInterval { 250000 };
+        Microseconds maxInterval { 16000000 };
+        // How long a suspect that is not fleet-wide is repeated: nearly all of these are coincidental.
+        Microseconds coincidenceLifetime { 30000000 };
+        // The number of crashes from which on a suspect is sent to the whole fleet.
+        size_t fleetWideThreshold { 2 };
+        // A daemon may send 9 KB/s of control messages, most of which may be load counts. An
+        // announcement to the 42 relays of a fleet of 330 daemons takes 5 KB at once.
         double bytesPerSecond { 1500 };
-        double burstBytes { 8000 };
-        // To a daemon that is new: those with the most ends.
-        size_t suspectsToNewcomers { 16 };
-        // A daemon that starts asks so many others, so many times: some may have started as well.
-        size_t askedAtStart { 4 };
-        size_t asksAtStart { 3 };
+        double maxBurstBytes { 8000 };
+        // A snapshot for a new subscriber contains the suspects with the most crashes.
+        size_t maxSuspectsPerSnapshot { 16 };
+        // At startup, snapshots are requested from several daemons and repeatedly, since some of
+        // them may have just started as well.
+        size_t startupPeerCount { 4 };
+        size_t startupRequestCount { 3 };
     };
 
     struct Hooks {
         std::function<void(VMId to, std::string bytes)> send;
-        // Who speaks with this daemon: the relays of all halls, and those that ask it.
+        // The relays of all halls, and the daemons that poll this one.
         std::function<std::vector<VMId>()> relays;
-        std::function<std::vector<VMId>()> askers;
+        std::function<std::vector<VMId>()> subscribers;
     };
 
     CrashExchange(FleetPeer self, CrashSuspects& suspects, Bounds bounds, Hooks hooks)
@@ -51,48 +52,48 @@
         , m_suspects(suspects)
         , m_bounds(bounds)
         , m_hooks(std::move(hooks))
-        , m_credit(bounds.burstBytes)
+        , m_sendBudget(bounds.maxBurstBytes)
     {
     }
 
-    // All other daemons that are registered.
+    // Sets the other registered daemons.
     void setPeers(std::vector<FleetPeer>, Instant now);
-    // This daemon has seen something about the request.
-    void seen(RequestFingerprint, Instant now);
-    // Takes a message. The result is the requests of which it told something new. Error: Malformed.
+    // Announces a suspect for which this daemon has recorded a new observation.
+    void announce(RequestFingerprint, Instant now);
+    // Returns the requests whose suspects have changed. Error: Malformed.
     Result<std::vector<RequestFingerprint>> receive(VMId from, std::string_view bytes, Instant now);
     void tick(Instant now);
 
 private:
-    // What is left to tell of one request.
-    struct Telling {
+    // The repetition schedule of one suspect.
+    struct Announcement {
         Instant nextAt;
-        Microseconds pause;
-        // Whether this daemon has seen something itself.
-        bool isWitness { false };
+        Microseconds interval;
+        // Whether this daemon has made an observation itself.
+        bool isObserver { false };
     };
 
     std::vector<VMId> homesOf(RequestFingerprint) const;
-    bool concernsAll(CrashSuspect const&) const;
-    std::vector<VMId> audienceOf(CrashSuspect const&, bool isWitness) const;
-    void tell(CrashSuspect const&, Telling&, Instant now);
-    void tellNewcomers(Instant now);
-    std::vector<CrashSuspect const*> whatConcernsAll() const;
-    void askAtStart(Instant now);
+    bool isFleetWide(CrashSuspect const&) const;
+    std::vector<VMId> recipientsOf(CrashSuspect const&, bool isObserver) const;
+    void sendAnnouncement(CrashSuspect const&, Announcement&, Instant now);
+    void sendToNewSubscribers(Instant now);
+    std::vector<CrashSuspect const*> fleetWideSuspects() const;
+    void requestSnapshotsAtStart(Instant now);
     void send(VMId to, std::vector<CrashSuspect const*> const&, Instant now);
-    void earnCredit(Instant now);
+    void refillSendBudget(Instant now);
 
     FleetPeer m_self;
     CrashSuspects& m_suspects;
     Bounds m_bounds;
     Hooks m_hooks;
     std::vector<FleetPeer> m_peers;
-    std::map<RequestFingerprint, Telling> m_tellings;
-    std::vector<VMId> m_knownAskers;
-    size_t m_asks { 0 };
-    Instant m_nextAskAt;
-    double m_credit;
-    Instant m_creditedAt;
+    std::map<RequestFingerprint, Announcement> m_announcements;
+    std::vector<VMId> m_knownSubscribers;
+    size_t m_startupRequests { 0 };
+    Instant m_nextStartupRequestAt;
+    double m_sendBudget;
+    Instant m_refilledAt;
 };
 
 }
--- a/Libraries/LibRouting/CrashSuspects.cpp
+++ b/Libraries/LibRouting/CrashSuspects.cpp
@@ -7,98 +7,98 @@
 
 namespace {
 
-    Instant newestNewsOf(CrashSuspect const& suspect)
+    Instant lastUpdateOf(CrashSuspect const& suspect)
     {
         auto newest = suspect.clearedAt.value_or(Instant {});
-        for (auto const& end : suspect.ends)
-            newest = std::max(newest, end.at);
+        for (auto const& crash : suspect.crashes)
+            newest = std::max(newest, crash.observedAt);
         return newest;
     }
 
-    // Whether the first is the better one to forget: fewer ends, then older.
-    bool tellsLess(CrashSuspect const& one, CrashSuspect const& other)
+    // Suspects with fewer crashes are evicted first, then those updated longest ago.
+    bool isEvictedBefore(CrashSuspect const& lhs, CrashSuspect const& rhs)
     {
-        if (one.ends.size() != other.ends.size())
-            return one.ends.size() < other.ends.size();
-        return newestNewsOf(one) < newestNewsOf(other);
+        if (lhs.crashes.size() != rhs.crashes.size())
+            return lhs.crashes.size() < rhs.crashes.size();
+        return lastUpdateOf(lhs) < lastUpdateOf(rhs);
     }
 
 }
 
-bool CrashSuspects::add(CrashSuspect& suspect, UpstreamEnd const& end) const
+bool CrashSuspects::add(CrashSuspect& suspect, UpstreamCrash const& crash) const
 {
-    bool const isKnown = std::any_of(suspect.ends.begin(), suspect.ends.end(), [&](auto const& known) {
-        return known.upstream == end.upstream && known.seenBy == end.seenBy;
+    bool const isDuplicate = std::any_of(suspect.crashes.begin(), suspect.crashes.end(), [&](auto const& known) {
+        return known.upstream == crash.upstream && known.observer == crash.observer;
     });
-    bool const isCleared = suspect.clearedAt && end.at <= *suspect.clearedAt;
-    if (isKnown || isCleared || suspect.ends.size() >= m_bounds.endsKept)
+    bool const isCleared = suspect.clearedAt && crash.observedAt <= *suspect.clearedAt;
+    if (isDuplicate || isCleared || suspect.crashes.size() >= m_bounds.maxCrashesPerSuspect)
         return false;
-    suspect.ends.push_back(end);
+    suspect.crashes.push_back(crash);
     return true;
 }
 
-bool CrashSuspects::ended(RequestFingerprint request, UpstreamId upstream, Instant now)
+bool CrashSuspects::recordCrash(RequestFingerprint request, UpstreamId upstream, Instant now)
 {
     return merge({ request, { { upstream, m_self, now } }, {} }, now);
 }
 
-bool CrashSuspects::answered(RequestFingerprint request, Instant now)
+bool CrashSuspects::recordSuccess(RequestFingerprint request, Instant now)
 {
     auto const found = m_suspects.find(request);
-    if (found == m_suspects.end() || found->second.ends.empty())
+    if (found == m_suspects.end() || found->second.crashes.empty())
         return false;
-    found->second.ends.clear();
+    found->second.crashes.clear();
     found->second.clearedAt = now;
     return true;
 }
 
-bool CrashSuspects::merge(CrashSuspect const& told, Instant now)
+bool CrashSuspects::merge(CrashSuspect const& reported, Instant now)
 {
-    if (now - newestNewsOf(told) > m_bounds.memory)
+    if (now - lastUpdateOf(reported) > m_bounds.retention)
         return false;
-    auto const [position, isNew] = m_suspects.try_emplace(told.request, CrashSuspect { told.request, {}, {} });
+    auto const [position, isNew] = m_suspects.try_emplace(reported.request, CrashSuspect { reported.request, {}, {} });
     auto& suspect = position->second;
     bool hasChanged = false;
-    if (told.clearedAt && (!suspect.clearedAt || *told.clearedAt > *suspect.clearedAt)) {
-        suspect.clearedAt = told.clearedAt;
-        hasChanged = std::erase_if(suspect.ends, [&](auto const& end) { return end.at <= *told.clearedAt; }) > 0;
+    if (reported.clearedAt && (!suspect.clearedAt || *reported.clearedAt > *suspect.clearedAt)) {
+        suspect.clearedAt = reported.clearedAt;
+        hasChanged = std::erase_if(suspect.crashes, [&](auto const& crash) { return crash.observedAt <= *reported.clearedAt; }) > 0;
     }
-    for (auto const& end : told.ends)
-        hasChanged = add(suspect, end) || hasChanged;
+    for (auto const& crash : reported.crashes)
+        hasChanged = add(suspect, crash) || hasChanged;
     if (isNew && m_suspects.size() > m_bounds.capacity)
-        makeRoom();
+        evictOne();
     return hasChanged;
 }
 
-void CrashSuspects::makeRoom()
+void CrashSuspects::evictOne()
 {
-    auto const least = std::min_element(m_suspects.begin(), m_suspects.end(), [](auto const& one, auto const& other) {
-        return tellsLess(one.second, other.second);
+    auto const victim = std::min_element(m_suspects.begin(), m_suspects.end(), [](auto const& lhs, auto const& rhs) {
+        return isEvictedBefore(lhs.second, rhs.second);
     });
-    m_suspects.erase(least);
+    m_suspects.erase(victim);
 }
 
-// What this daemon or several have seen is certain.
-size_t CrashSuspects::endCount(RequestFingerprint request) const
+// A crash that this daemon or several daemons observed always counts.
+size_t CrashSuspects::crashCount(RequestFingerprint request) const
 {
     auto const* suspect = find(request);
     if (!suspect)
         return 0;
-    std::map<UpstreamId, std::set<VMId>> witnesses;
-    for (auto const& end : suspect->ends)
-        witnesses[end.upstream].insert(end.seenBy);
+    std::map<UpstreamId, std::set<VMId>> observersByUpstream;
+    for (auto const& crash : suspect->crashes)
+        observersByUpstream[crash.upstream].insert(crash.observer);
     size_t count = 0;
-    std::map<VMId, size_t> byOne;
-    for (auto const& [upstream, seenBy] : witnesses) {
-        if (seenBy.size() > 1 || seenBy.contains(m_self) || ++byOne[*seenBy.begin()] <= m_bounds.endsByOneWitness)
+    std::map<VMId, size_t> remoteCrashes;
+    for (auto const& [upstream, observers] : observersByUpstream) {
+        if (observers.size() > 1 || observers.contains(m_self) || ++remoteCrashes[*observers.begin()] <= m_bounds.maxCrashesPerRemoteObserver)
             ++count;
     }
     return count;
 }
 
-bool CrashSuspects::isGuilty(RequestFingerprint request) const
+bool CrashSuspects::isPoison(RequestFingerprint request) const
 {
-    return endCount(request) >= m_bounds.endsOfGuilty;
+    return crashCount(request) >= m_bounds.poisonThreshold;
 }
 
 CrashSuspect const* CrashSuspects::find(RequestFingerprint request) const
@@ -109,7 +109,7 @@
 
 void CrashSuspects::prune(Instant now)
 {
-    std::erase_if(m_suspects, [&](auto const& entry) { return now - newestNewsOf(entry.second) > m_bounds.memory; });
+    std::erase_if(m_suspects, [&](auto const& entry) { return now - lastUpdateOf(entry.second) > m_bounds.retention; });
 }
 
 }
--- a/Libraries/LibRouting/CrashSuspects.h
+++ b/Libraries/LibRouting/CrashSuspects.h
@@ -8,42 +8,42 @@
 
 namespace Stagepost {
 
-// An upstream's process ended while a request was with it.
-struct UpstreamEnd {
-    // One start of one upstream.
+// A crash of an upstream process while a request was in flight there.
+struct UpstreamCrash {
+    // Identifies one process: a restarted upstream has another id.
     UpstreamId upstream;
-    VMId seenBy;
-    Instant at;
+    VMId observer;
+    Instant observedAt;
 };
 
-// What is known of one request.
+// A request that was in flight at upstreams when they crashed.
 struct CrashSuspect {
     RequestFingerprint request;
-    std::vector<UpstreamEnd> ends;
-    // It was answered whole then, so what ended before did not end because of it.
+    std::vector<UpstreamCrash> crashes;
+    // When the request was last answered in full. Crashes up to then were not caused by it.
     std::optional<Instant> clearedAt;
 };
 
-// Tells requests that end whoever runs them from those that were there by chance. Whatever was
-// with an upstream when its process ended is a suspect; one under which several have ended, and
-// that nobody has answered in between, is guilty and goes to no upstream any more. Without it
-// one such request, sent again and again, ended 20 of nine upstreams in 16 s and broke off
-// 163 answers of others (daemons' logs of a day).
+// Distinguishes poison requests, which crash each upstream that runs them, from requests that were
+// in flight at a crashed upstream by coincidence. Each request in flight at an upstream that
+// crashes becomes a suspect. A suspect with several crashes and no successful answer in between is
+// poison and is not sent to any upstream. Without this, retries of a single poison request crashed
+// nine upstreams 20 times in 16 s and cut off 163 answers to other requests.
 class CrashSuspects {
 public:
     struct Bounds {
-        // The users allow three ends; a request that is with an upstream by chance comes to two
-        // only where its route allows two attempts and both end.
-        size_t endsOfGuilty { 3 };
-        // Of the ends that one daemon alone has seen, others believe so many: a daemon that is
-        // confused must not turn everybody's requests away.
-        size_t endsByOneWitness { 2 };
-        // Enough for a few upstreams that end with 64 requests each; 160 bytes an entry.
+        // The users' requirements allow a request three crashes. A coincidental suspect reaches
+        // two only if its route allows two attempts and both upstreams crash.
+        size_t poisonThreshold { 3 };
+        // Crashes reported by a single other daemon count only up to this number, so that a
+        // faulty daemon cannot make the whole fleet reject requests.
+        size_t maxCrashesPerRemoteObserver { 2 };
+        // Sufficient for crashes of a few upstreams with 64 requests each; an entry takes 160 bytes.
         size_t capacity { 1024 };
-        // What more is known of a request changes nothing.
-        size_t endsKept { 6 };
-        // A guilty request is let through again after this: upstreams may have been mended.
-        Microseconds memory { 600000000 };
+        // Further crashes do not change the result.
+        size_t maxCrashesPerSuspect { 6 };
+        // A poison request is admitted again after this, since the upstreams may have been fixed.
+        Microseconds retention { 600000000 };
     };
 
     explicit CrashSuspects(VMId self)
@@ -56,27 +56,29 @@
     {
     }
 
-    // This daemon saw the upstream end while the request was with it. False where it was known.
-    bool ended(RequestFingerprint, UpstreamId, Instant now);
-    // This daemon saw the request answered whole. False where it was no suspect.
-    bool answered(RequestFingerprint, Instant now);
-    // Takes over what another daemon knows. False where it changes nothing.
+    // Records a crash that this daemon observed while the request was in flight at the upstream.
+    // Returns whether the crash was new.
+    bool recordCrash(RequestFingerprint, UpstreamId, Instant now);
+    // Records that this daemon saw the request answered in full, which clears its crashes. Returns
+    // false if it had none.
+    bool recordSuccess(RequestFingerprint, Instant now);
+    // Merges another daemon's record of a suspect. Returns whether its crashes changed.
     bool merge(CrashSuspect const&, Instant now);
 
-    bool isGuilty(RequestFingerprint) const;
-    // How many upstreams count as ended under it.
-    size_t endCount(RequestFingerprint) const;
+    bool isPoison(RequestFingerprint) const;
+    // The number of crashed upstreams that count against the request.
+    size_t crashCount(RequestFingerprint) const;
     CrashSuspect const* find(RequestFingerprint) const;
-    // Whether there are none: then no request needs a fingerprint.
+    // If there are no suspects, requests need not be fingerprinted.
     bool isEmpty() const { return m_suspects.empty(); }
-    std::map<RequestFingerprint, CrashSuspect> const& all() const { return m_suspects; }
+    std::map<RequestFingerprint, CrashSuspect> const& suspects() const { return m_suspects; }
 
-    // Forgets what is too old.
+    // Removes suspects without news for the retention time.
     void prune(Instant now);
 
 private:
-    bool add(CrashSuspect&, UpstreamEnd const&) const;
-    void makeRoom();
+    bool add(CrashSuspect&, UpstreamCrash const&) const;
+    void evictOne();
 
     VMId m_self;
     Bounds m_bounds;
--- a/Tests/LibRouting/TestCrashExchange.cpp
+++ b/Tests/LibRouting/TestCrashExchange.cpp
@@ -14,7 +14,7 @@
 constexpr size_t hallCount = 6;
 constexpr size_t groupSize = 8;
 
-// A fleet whose messages take one step and are lost now and then.
+// A simulated fleet whose messages take one step and are lost with the given probability.
 class Fleet {
 public:
     Fleet(size_t size, double loss, unsigned seed)
@@ -23,7 +23,7 @@
     {
         for (size_t number = 0; number < size; ++number)
             add(number);
-        introduce();
+        updatePeers();
     }
 
     void add(size_t number)
@@ -31,11 +31,11 @@
         auto daemon = std::make_unique<Daemon>(VMId(hashOf("daemon-" + std::to_string(number))), HallId(1 + number % hallCount));
         auto* const added = daemon.get();
         daemon->exchange = std::make_unique<CrashExchange>(FleetPeer { added->id, added->hall }, added->suspects, CrashExchange::Bounds {},
-            CrashExchange::Hooks { [this, added](VMId to, std::string const& bytes) { send(*added, to, bytes); }, [this] { return m_relays; }, [this, added] { return askersOf(*added); } });
+            CrashExchange::Hooks { [this, added](VMId to, std::string const& bytes) { send(*added, to, bytes); }, [this] { return m_relays; }, [this, added] { return subscribersOf(*added); } });
         m_daemons.push_back(std::move(daemon));
     }
 
-    void startAgain(size_t number)
+    void restart(size_t number)
     {
         auto const id = m_daemons[number]->id;
         add(number);
@@ -45,8 +45,8 @@
         m_daemons[number]->exchange->setPeers(m_peers, m_now);
     }
 
-    // In each hall every eighth daemon is a relay, and the seven after it ask it.
-    void introduce()
+    // Every eighth daemon of each hall is a relay, and the next seven are its subscribers.
+    void updatePeers()
     {
         m_peers.clear();
         m_relays.clear();
@@ -59,16 +59,16 @@
             daemon->exchange->setPeers(m_peers, m_now);
     }
 
-    void ended(size_t daemon, RequestFingerprint request, UpstreamId upstream)
+    void recordCrash(size_t daemon, RequestFingerprint request, UpstreamId upstream)
     {
-        if (m_daemons[daemon]->suspects.ended(request, upstream, m_now))
-            m_daemons[daemon]->exchange->seen(request, m_now);
+        if (m_daemons[daemon]->suspects.recordCrash(request, upstream, m_now))
+            m_daemons[daemon]->exchange->announce(request, m_now);
     }
 
-    void answered(size_t daemon, RequestFingerprint request)
+    void recordSuccess(size_t daemon, RequestFingerprint request)
     {
-        if (m_daemons[daemon]->suspects.answered(request, m_now))
-            m_daemons[daemon]->exchange->seen(request, m_now);
+        if (m_daemons[daemon]->suspects.recordSuccess(request, m_now))
+            m_daemons[daemon]->exchange->announce(request, m_now);
     }
 
     void run(Milliseconds duration)
@@ -83,20 +83,20 @@
         }
     }
 
-    size_t convinced(RequestFingerprint request) const
+    size_t countDaemonsDetecting(RequestFingerprint request) const
     {
-        return static_cast<size_t>(std::count_if(m_daemons.begin(), m_daemons.end(), [&](auto const& daemon) { return daemon->suspects.isGuilty(request); }));
+        return static_cast<size_t>(std::count_if(m_daemons.begin(), m_daemons.end(), [&](auto const& daemon) { return daemon->suspects.isPoison(request); }));
     }
 
     size_t size() const { return m_daemons.size(); }
-    double mostBytesPerSecond() const
+    double maxBytesPerSecond() const
     {
-        size_t most = 0;
+        size_t maximum = 0;
         for (auto const& daemon : m_daemons)
-            most = std::max(most, daemon->bytes);
-        return static_cast<double>(most) / asSeconds(m_now - start);
+            maximum = std::max(maximum, daemon->bytes);
+        return static_cast<double>(maximum) / asSeconds(m_now - start);
     }
-    void silence(bool isSilent) { m_isSilent = isSilent; }
+    void setPartitioned(bool isPartitioned) { m_isPartitioned = isPartitioned; }
 
 private:
     struct Daemon {
@@ -121,23 +121,23 @@
 
     static bool isRelay(size_t index) { return (index / hallCount) % groupSize == 0; }
 
-    std::vector<VMId> askersOf(Daemon const& daemon) const
+    std::vector<VMId> subscribersOf(Daemon const& daemon) const
     {
-        std::vector<VMId> askers;
+        std::vector<VMId> subscribers;
         auto const position = std::find_if(m_daemons.begin(), m_daemons.end(), [&](auto const& candidate) { return candidate.get() == &daemon; });
         auto const index = static_cast<size_t>(position - m_daemons.begin());
         if (!isRelay(index))
-            return askers;
+            return subscribers;
         for (size_t next = index + hallCount; next < m_daemons.size() && !isRelay(next); next += hallCount)
-            askers.push_back(m_daemons[next]->id);
-        return askers;
+            subscribers.push_back(m_daemons[next]->id);
+        return subscribers;
     }
 
     void send(Daemon& from, VMId to, std::string const& bytes)
     {
         constexpr size_t headerBytes = 53;
         from.bytes += headerBytes + bytes.size();
-        if (!m_isSilent && std::uniform_real_distribution<>(0, 1)(m_random) >= m_loss)
+        if (!m_isPartitioned && std::uniform_real_distribution<>(0, 1)(m_random) >= m_loss)
             m_messages.push_back({ from.id, to, bytes });
     }
 
@@ -158,7 +158,7 @@
     double m_loss;
     std::mt19937 m_random;
     Instant m_now { start };
-    bool m_isSilent { false };
+    bool m_isPartitioned { false };
 };
 
 RequestFingerprint const request { 77 };
@@ -167,96 +167,96 @@
 
 BOOST_AUTO_TEST_SUITE(CrashExchangeTests)
 
-// Each daemon sees one end; with each, 63 requests of others are with the upstream.
-BOOST_AUTO_TEST_CASE(TheThirdEndIsKnownToAllWithinASecondAtAnySize)
+// Each crash is observed by another daemon, with 63 unrelated requests in flight at the upstream.
+BOOST_AUTO_TEST_CASE(AThirdCrashReachesAllDaemonsWithinASecondAtAnySize)
 {
     for (size_t const size : { 7, 87, 330 }) {
         for (unsigned seed = 1; seed <= 5; ++seed) {
             Fleet fleet(size, 0.05, seed);
-            for (uint64_t end = 0; end < 3; ++end) {
-                fleet.ended((end * 31 + seed) % size, request, UpstreamId(10 + end));
-                for (uint64_t chance = 0; chance < 63; ++chance)
-                    fleet.ended(chance % size, RequestFingerprint(1000 + 100 * end + chance), UpstreamId(10 + end));
-                if (end < 2)
+            for (uint64_t crash = 0; crash < 3; ++crash) {
+                fleet.recordCrash((crash * 31 + seed) % size, request, UpstreamId(10 + crash));
+                for (uint64_t coincidence = 0; coincidence < 63; ++coincidence)
+                    fleet.recordCrash(coincidence % size, RequestFingerprint(1000 + 100 * crash + coincidence), UpstreamId(10 + crash));
+                if (crash < 2)
                     fleet.run(Milliseconds(300));
             }
             fleet.run(Milliseconds(1000));
             BOOST_TEST_CONTEXT("daemons " << size << " seed " << seed)
             {
-                BOOST_TEST(fleet.convinced(request) == size);
-                BOOST_TEST(fleet.convinced(RequestFingerprint(1001)) == 0u);
+                BOOST_TEST(fleet.countDaemonsDetecting(request) == size);
+                BOOST_TEST(fleet.countDaemonsDetecting(RequestFingerprint(1001)) == 0u);
             }
         }
     }
 }
 
-// 9 KB/s are a daemon's for all control.
-BOOST_AUTO_TEST_CASE(WhatIsToldStaysWithinADaemonsBytes)
+// A daemon may send 9 KB/s of control messages in total.
+BOOST_AUTO_TEST_CASE(AnnouncementsStayWithinTheSendBudget)
 {
     Fleet fleet(330, 0, 1);
-    for (uint64_t end = 0; end < 30; ++end) {
-        for (uint64_t chance = 0; chance < 64; ++chance)
-            fleet.ended((end * 64 + chance * 5) % 330, RequestFingerprint(1000 + (chance < 3 ? chance : 100 * end + chance)), UpstreamId(10 + end));
+    for (uint64_t crash = 0; crash < 30; ++crash) {
+        for (uint64_t coincidence = 0; coincidence < 64; ++coincidence)
+            fleet.recordCrash((crash * 64 + coincidence * 5) % 330, RequestFingerprint(1000 + (coincidence < 3 ? coincidence : 100 * crash + coincidence)), UpstreamId(10 + crash));
         fleet.run(Milliseconds(1000));
     }
-    BOOST_TEST(fleet.convinced(RequestFingerprint(1000)) == 330u);
-    BOOST_TEST_MESSAGE("most bytes a second of a daemon: " << fleet.mostBytesPerSecond());
-    BOOST_TEST(fleet.mostBytesPerSecond() < 2000);
+    BOOST_TEST(fleet.countDaemonsDetecting(RequestFingerprint(1000)) == 330u);
+    BOOST_TEST_MESSAGE("maximum bytes per second of a daemon: " << fleet.maxBytesPerSecond());
+    BOOST_TEST(fleet.maxBytesPerSecond() < 2000);
 }
 
-BOOST_AUTO_TEST_CASE(ADaemonThatStartsLaterIsTold)
+BOOST_AUTO_TEST_CASE(ANewDaemonReceivesPoisonRequests)
 {
     Fleet fleet(86, 0.05, 1);
-    for (uint64_t end = 0; end < 3; ++end)
-        fleet.ended(end, request, UpstreamId(10 + end));
+    for (uint64_t crash = 0; crash < 3; ++crash)
+        fleet.recordCrash(crash, request, UpstreamId(10 + crash));
     fleet.run(Milliseconds(5000));
     fleet.add(86);
-    fleet.introduce();
+    fleet.updatePeers();
     fleet.run(Milliseconds(1000));
-    BOOST_TEST(fleet.convinced(request) == 87u);
+    BOOST_TEST(fleet.countDaemonsDetecting(request) == 87u);
 }
 
-// The names are known to all, so nobody else notices.
-BOOST_AUTO_TEST_CASE(DaemonsThatStartAgainUnderTheirNamesAreTold)
+// A restart under the same name changes no peer list, so no other daemon notices it.
+BOOST_AUTO_TEST_CASE(RestartedDaemonsReceivePoisonRequests)
 {
     for (size_t const size : { 7, 87, 330 }) {
         Fleet fleet(size, 0.05, 1);
-        for (uint64_t end = 0; end < 3; ++end)
-            fleet.ended(end, request, UpstreamId(10 + end));
+        for (uint64_t crash = 0; crash < 3; ++crash)
+            fleet.recordCrash(crash, request, UpstreamId(10 + crash));
         fleet.run(Milliseconds(20000));
         for (size_t daemon = 0; daemon < size; daemon += 2)
-            fleet.startAgain(daemon);
+            fleet.restart(daemon);
         fleet.run(Milliseconds(1000));
-        BOOST_TEST(fleet.convinced(request) == size);
+        BOOST_TEST(fleet.countDaemonsDetecting(request) == size);
     }
 }
 
-BOOST_AUTO_TEST_CASE(WhoWasCutOffIsToldInTheEnd)
+BOOST_AUTO_TEST_CASE(DaemonsReceivePoisonRequestsAfterAPartition)
 {
     Fleet fleet(87, 0, 1);
-    fleet.silence(true);
-    for (uint64_t end = 0; end < 3; ++end)
-        fleet.ended(end, request, UpstreamId(10 + end));
+    fleet.setPartitioned(true);
+    for (uint64_t crash = 0; crash < 3; ++crash)
+        fleet.recordCrash(crash, request, UpstreamId(10 + crash));
     fleet.run(Milliseconds(5000));
-    BOOST_TEST(fleet.convinced(request) == 0u);
-    fleet.silence(false);
+    BOOST_TEST(fleet.countDaemonsDetecting(request) == 0u);
+    fleet.setPartitioned(false);
     fleet.run(Milliseconds(17000));
-    BOOST_TEST(fleet.convinced(request) == 87u);
+    BOOST_TEST(fleet.countDaemonsDetecting(request) == 87u);
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerClearsARequestEverywhere)
+BOOST_AUTO_TEST_CASE(AnAnswerClearsARequestOnAllDaemons)
 {
     Fleet fleet(87, 0, 1);
-    for (uint64_t end = 0; end < 3; ++end)
-        fleet.ended(end, request, UpstreamId(10 + end));
+    for (uint64_t crash = 0; crash < 3; ++crash)
+        fleet.recordCrash(crash, request, UpstreamId(10 + crash));
     fleet.run(Milliseconds(1000));
-    BOOST_TEST(fleet.convinced(request) == 87u);
-    fleet.answered(50, request);
+    BOOST_TEST(fleet.countDaemonsDetecting(request) == 87u);
+    fleet.recordSuccess(50, request);
     fleet.run(Milliseconds(1000));
-    BOOST_TEST(fleet.convinced(request) == 0u);
+    BOOST_TEST(fleet.countDaemonsDetecting(request) == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(MessagesThatAreNotUnderstoodChangeNothing)
+BOOST_AUTO_TEST_CASE(MalformedMessagesAreIgnored)
 {
     CrashSuspects suspects { VMId(1) };
     CrashExchange exchange({ VMId(1), HallId(1) }, suspects, {}, { [](VMId, std::string const&) {}, [] { return std::vector<VMId>(); }, [] { return std::vector<VMId>(); } });
--- a/Tests/LibRouting/TestCrashSuspects.cpp
+++ b/Tests/LibRouting/TestCrashSuspects.cpp
@@ -11,11 +11,11 @@
 RequestFingerprint const request { 77 };
 Instant const start { Seconds(1000) };
 
-CrashSuspect toldBy(VMId witness, std::initializer_list<uint64_t> upstreams, Instant at = start)
+CrashSuspect reportedBy(VMId observer, std::initializer_list<uint64_t> upstreams, Instant at = start)
 {
     CrashSuspect suspect { request, {}, {} };
     for (auto const upstream : upstreams)
-        suspect.ends.push_back({ UpstreamId(upstream), witness, at });
+        suspect.crashes.push_back({ UpstreamId(upstream), observer, at });
     return suspect;
 }
 
@@ -23,84 +23,84 @@
 
 BOOST_AUTO_TEST_SUITE(CrashSuspectsTests)
 
-BOOST_AUTO_TEST_CASE(ThreeEndsThatOneSawItselfMakeARequestGuilty)
+BOOST_AUTO_TEST_CASE(ThreeOwnObservationsMakeARequestPoison)
 {
     CrashSuspects suspects(self);
     BOOST_TEST(suspects.isEmpty());
-    BOOST_TEST(suspects.ended(request, UpstreamId(10), start));
-    BOOST_TEST(!suspects.ended(request, UpstreamId(10), start));
-    BOOST_TEST(suspects.ended(request, UpstreamId(11), start));
-    BOOST_TEST(!suspects.isGuilty(request));
-    BOOST_TEST(suspects.ended(request, UpstreamId(12), start));
-    BOOST_TEST(suspects.isGuilty(request));
-    BOOST_TEST(!suspects.isGuilty(RequestFingerprint(78)));
+    BOOST_TEST(suspects.recordCrash(request, UpstreamId(10), start));
+    BOOST_TEST(!suspects.recordCrash(request, UpstreamId(10), start));
+    BOOST_TEST(suspects.recordCrash(request, UpstreamId(11), start));
+    BOOST_TEST(!suspects.isPoison(request));
+    BOOST_TEST(suspects.recordCrash(request, UpstreamId(12), start));
+    BOOST_TEST(suspects.isPoison(request));
+    BOOST_TEST(!suspects.isPoison(RequestFingerprint(78)));
 }
 
-BOOST_AUTO_TEST_CASE(TheWordOfOneOtherDaemonIsNotEnough)
+BOOST_AUTO_TEST_CASE(ReportsOfASingleOtherDaemonAreNotSufficient)
 {
     CrashSuspects suspects(self);
-    BOOST_TEST(suspects.merge(toldBy(other, { 10, 11, 12, 13, 14 }), start));
-    BOOST_TEST(suspects.endCount(request) == 2u);
-    BOOST_TEST(!suspects.isGuilty(request));
-    // The same end seen by another one as well is certain.
-    BOOST_TEST(suspects.merge(toldBy(third, { 10 }), start));
-    BOOST_TEST(suspects.isGuilty(request));
+    BOOST_TEST(suspects.merge(reportedBy(other, { 10, 11, 12, 13, 14 }), start));
+    BOOST_TEST(suspects.crashCount(request) == 2u);
+    BOOST_TEST(!suspects.isPoison(request));
+    // A crash that two other daemons observed counts in full.
+    BOOST_TEST(suspects.merge(reportedBy(third, { 10 }), start));
+    BOOST_TEST(suspects.isPoison(request));
 }
 
-BOOST_AUTO_TEST_CASE(TheWordOfOneOtherDaemonAndAnEndOfOnesOwnAre)
+BOOST_AUTO_TEST_CASE(ReportsOfASingleOtherDaemonAndAnOwnObservationAreSufficient)
 {
     CrashSuspects suspects(self);
-    suspects.merge(toldBy(other, { 10, 11, 12 }), start);
-    suspects.ended(request, UpstreamId(13), start);
-    BOOST_TEST(suspects.isGuilty(request));
+    suspects.merge(reportedBy(other, { 10, 11, 12 }), start);
+    suspects.recordCrash(request, UpstreamId(13), start);
+    BOOST_TEST(suspects.isPoison(request));
 }
 
-BOOST_AUTO_TEST_CASE(ARequestThatWasAnsweredIsCleared)
+BOOST_AUTO_TEST_CASE(AnAnswerClearsEarlierCrashes)
 {
     CrashSuspects suspects(self);
-    suspects.ended(request, UpstreamId(10), start);
-    suspects.ended(request, UpstreamId(11), start);
-    BOOST_TEST(suspects.answered(request, start + Seconds(1)));
-    BOOST_TEST(!suspects.answered(request, start + Seconds(1)));
-    BOOST_TEST(suspects.endCount(request) == 0u);
-    // What was told late is of before.
-    BOOST_TEST(!suspects.merge(toldBy(other, { 12, 13 }), start + Seconds(2)));
-    BOOST_TEST(suspects.endCount(request) == 0u);
-    suspects.ended(request, UpstreamId(14), start + Seconds(3));
-    BOOST_TEST(suspects.endCount(request) == 1u);
+    suspects.recordCrash(request, UpstreamId(10), start);
+    suspects.recordCrash(request, UpstreamId(11), start);
+    BOOST_TEST(suspects.recordSuccess(request, start + Seconds(1)));
+    BOOST_TEST(!suspects.recordSuccess(request, start + Seconds(1)));
+    BOOST_TEST(suspects.crashCount(request) == 0u);
+    // Reports that arrive late describe crashes before the answer.
+    BOOST_TEST(!suspects.merge(reportedBy(other, { 12, 13 }), start + Seconds(2)));
+    BOOST_TEST(suspects.crashCount(request) == 0u);
+    suspects.recordCrash(request, UpstreamId(14), start + Seconds(3));
+    BOOST_TEST(suspects.crashCount(request) == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(OthersAreBelievedThatARequestWasAnswered)
+BOOST_AUTO_TEST_CASE(AnAnswerReportedByAnotherDaemonClearsCrashes)
 {
     CrashSuspects suspects(self);
     for (uint64_t upstream = 10; upstream < 13; ++upstream)
-        suspects.ended(request, UpstreamId(upstream), start);
+        suspects.recordCrash(request, UpstreamId(upstream), start);
     BOOST_TEST(suspects.merge({ request, {}, start + Seconds(1) }, start + Seconds(1)));
-    BOOST_TEST(!suspects.isGuilty(request));
+    BOOST_TEST(!suspects.isPoison(request));
 }
 
-BOOST_AUTO_TEST_CASE(AGuiltyRequestIsLetThroughAgainAfterTenMinutes)
+BOOST_AUTO_TEST_CASE(APoisonRequestIsForgottenAfterTenMinutes)
 {
     CrashSuspects suspects(self);
     for (uint64_t upstream = 10; upstream < 13; ++upstream)
-        suspects.ended(request, UpstreamId(upstream), start);
+        suspects.recordCrash(request, UpstreamId(upstream), start);
     suspects.prune(start + Seconds(600));
-    BOOST_TEST(suspects.isGuilty(request));
+    BOOST_TEST(suspects.isPoison(request));
     suspects.prune(start + Seconds(601));
-    BOOST_TEST(!suspects.isGuilty(request));
+    BOOST_TEST(!suspects.isPoison(request));
     BOOST_TEST(suspects.isEmpty());
 }
 
-// A caller that sends a thousand other requests must not push the guilty one out.
-BOOST_AUTO_TEST_CASE(TheLeastSuspectedLeaveFirst)
+// A caller must not be able to evict a poison request by sending thousands of others.
+BOOST_AUTO_TEST_CASE(SuspectsWithTheFewestCrashesAreEvictedFirst)
 {
     CrashSuspects suspects(self);
     for (uint64_t upstream = 10; upstream < 13; ++upstream)
-        suspects.ended(request, UpstreamId(upstream), start);
+        suspects.recordCrash(request, UpstreamId(upstream), start);
     for (uint64_t number = 100; number < 5100; ++number)
-        suspects.ended(RequestFingerprint(number), UpstreamId(20), start + Seconds(1));
-    BOOST_TEST(suspects.isGuilty(request));
-    BOOST_TEST(suspects.all().size() == 1024u);
+        suspects.recordCrash(RequestFingerprint(number), UpstreamId(20), start + Seconds(1));
+    BOOST_TEST(suspects.isPoison(request));
+    BOOST_TEST(suspects.suspects().size() == 1024u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
