--- a/Libraries/LibRouting/InFlightCounter.cpp
+++ b/Libraries/LibRouting/InFlightCounter.cpp
@@ -1,4 +1,4 @@
-#include <LibRouting/InFlightLedger.h>
+#include <LibRouting/InFlightCounter.h>
 
 #include <algorithm>
 #include <cmath>
@@ -7,140 +7,141 @@
 
 namespace {
 
-    // A daemon that dies leaves its share behind. After four holds two in a hundred of its
-    // requests would still run; the bounds are for holds that are not known well.
-    constexpr int holdsInMemory = 4;
-    constexpr Microseconds leastMemory { 6000000 };
-    constexpr Microseconds mostMemory { 30000000 };
-    // Said again well before it is forgotten, so that one message may be lost.
-    constexpr int repeatsInMemory = 3;
-    // An owner that has just become one goes by the forecast as well, until most of what
-    // was sent before has ended.
-    constexpr int holdsUntilKnown = 2;
-    // How long an asker's word that an upstream is cold counts: each ask says it again until
-    // the asker has learnt that the upstream is warm.
-    constexpr Microseconds noticeMemory { 1000000 };
+    // The count of a daemon that has died expires after four hold times, when 2 % of its requests
+    // would still be in flight. The limits apply if the hold time is not known precisely.
+    constexpr int retentionInHoldTimes = 4;
+    constexpr Microseconds minRetention { 6000000 };
+    constexpr Microseconds maxRetention { 30000000 };
+    // More than one report per retention time, so that a report may be lost.
+    constexpr int reportsPerRetention = 3;
+    // A new owner also considers the forecast until most of the requests that were sent
+    // before it became the owner have finished.
+    constexpr int warmupInHoldTimes = 2;
+    // A cold notice is only valid for this long, since each permit request repeats it for as long
+    // as the requesting daemon considers the upstream cold.
+    constexpr Microseconds coldNoticeLifetime { 1000000 };
 
 }
 
-Microseconds ledgerMemory(Microseconds hold)
+Microseconds inFlightRetention(Microseconds holdTime)
 {
-    return std::clamp(holdsInMemory * hold, leastMemory, mostMemory);
+    return std::clamp(retentionInHoldTimes * holdTime, minRetention, maxRetention);
 }
 
-Microseconds ledgerRepeat(Microseconds hold)
+Microseconds inFlightReportInterval(Microseconds holdTime)
 {
-    return ledgerMemory(hold) / repeatsInMemory;
+    return inFlightRetention(holdTime) / reportsPerRetention;
 }
 
-InFlightLedger::Account& InFlightLedger::account(UpstreamId upstream, Instant now)
+InFlightCounter::UpstreamState& InFlightCounter::stateOf(UpstreamId upstream, Instant now)
 {
-    auto const [entry, isNew] = m_accounts.try_emplace(upstream);
+    auto const [entry, isNew] = m_upstreams.try_emplace(upstream);
     if (isNew)
-        entry->second.since = now;
-    entry->second.heardAt = now;
+        entry->second.createdAt = now;
+    entry->second.updatedAt = now;
     return entry->second;
 }
 
-size_t InFlightLedger::sum(Account const& account)
+size_t InFlightCounter::totalInFlight(UpstreamState const& state)
 {
     size_t total = 0;
-    for (auto const& [daemon, share] : account.shares)
-        total += share.count;
+    for (auto const& [daemon, daemonCount] : state.daemonCounts)
+        total += daemonCount.count;
     return total;
 }
 
-// Whoever is asked in place of the first owner counts only what has come to itself.
-size_t InFlightLedger::believed(UpstreamForecast const& forecast, Account const& account, bool isFirstOwner, Instant now)
+// A daemon that stands in for the first owner only has the counts that were sent to itself, so the
+// forecast is a lower bound there.
+size_t InFlightCounter::estimate(UpstreamForecast const& forecast, UpstreamState const& state, bool isFirstOwner, Instant now)
 {
-    auto const counted = sum(account);
-    if (isFirstOwner && now - account.since > holdsUntilKnown * forecast.hold)
+    auto const counted = totalInFlight(state);
+    if (isFirstOwner && now - state.createdAt > warmupInHoldTimes * forecast.holdTime)
         return counted;
     return std::max(counted, static_cast<size_t>(std::llround(forecast.inFlight)));
 }
 
-LedgerVerdict InFlightLedger::ask(VMId from, LedgerAsk const& ask, OwnerStanding standing, Instant now)
+PermitDecision InFlightCounter::requestPermit(VMId from, PermitRequest const& request, OwnerStatus status, Instant now)
 {
-    told(from, ask.upstream, ask.ownInFlight, now);
-    auto& account = m_accounts.at(ask.upstream);
-    if (ask.cold)
-        noteCold(account, *ask.cold, now);
-    auto const forecast = m_forecast(ask.upstream);
-    auto const count = believed(forecast, account, standing.isFirst, now);
-    auto const& cold = forecast.coldBound.exists() ? forecast.coldBound : account.toldBound;
-    auto const sends = account.sends.count(coldWindow, now);
-    bool const isCold = forecast.isCold || now < account.toldColdUntil;
-    if (isCold && sends >= partOf(standing.rank, cold))
+    report(from, request.upstream, request.ownInFlight, now);
+    auto& state = m_upstreams.at(request.upstream);
+    if (request.cold)
+        recordColdNotice(state, *request.cold, now);
+    auto const forecast = m_forecast(request.upstream);
+    auto const count = estimate(forecast, state, status.isFirstChoice, now);
+    auto const& cold = forecast.coldBound.exists() ? forecast.coldBound : state.reportedBound;
+    auto const sends = state.sends.count(coldWindow, now);
+    bool const isCold = forecast.isCold || now < state.reportedColdUntil;
+    if (isCold && sends >= coldQuota(status.rank, cold))
         return { false, count, true };
-    if (forecast.hasRoomForCaution && sends >= cold.forCaution())
+    if (forecast.canAlwaysEnforceColdBound && sends >= cold.forCaution())
         return { false, count, true };
-    LedgerVerdict verdict { count < ask.limit, count };
-    verdict.isNewThere = ask.context && !account.contexts.contains(*ask.context);
-    if (verdict.isGranted) {
-        account.shares[from] = { ask.ownInFlight + 1, now };
-        account.sends.add(1, cold.most(), now);
-        if (ask.context)
-            account.contexts.put(*ask.context, true);
+    PermitDecision decision { count < request.limit, count };
+    decision.isContextNew = request.context && !state.contexts.contains(*request.context);
+    if (decision.isGranted) {
+        state.daemonCounts[from] = { request.ownInFlight + 1, now };
+        state.sends.add(1, cold.most(), now);
+        if (request.context)
+            state.contexts.put(*request.context, true);
     }
-    return verdict;
+    return decision;
 }
 
-size_t InFlightLedger::partOf(OwnerRank rank, ColdBound const& bound)
+size_t InFlightCounter::coldQuota(OwnerRank rank, ColdBound const& bound)
 {
     switch (rank) {
-    case OwnerRank::First:
+    case OwnerRank::Primary:
         return bound.forOwner();
-    case OwnerRank::Next:
+    case OwnerRank::Secondary:
         return bound.forNextOwner();
-    case OwnerRank::Further:
+    case OwnerRank::Other:
         return 0;
     }
     return 0;
 }
 
-void InFlightLedger::noteCold(Account& account, ColdNotice const& notice, Instant now)
+void InFlightCounter::recordColdNotice(UpstreamState& state, ColdNotice const& notice, Instant now)
 {
-    account.toldBound = notice.bound;
-    account.toldColdUntil = std::max(account.toldColdUntil, now + std::min(notice.left, noticeMemory));
+    state.reportedBound = notice.bound;
+    state.reportedColdUntil = std::max(state.reportedColdUntil, now + std::min(notice.left, coldNoticeLifetime));
 }
 
-// More than a daemon had before and was granted since has gone without this one's word.
-void InFlightLedger::noteSends(UpstreamId upstream, Account& account, size_t sends, Instant now)
+// Requests above the daemon's previous count and its grants were sent without a permit.
+void InFlightCounter::recordSends(UpstreamId upstream, UpstreamState& state, size_t sends, Instant now)
 {
     if (!sends)
         return;
     auto const bound = m_forecast(upstream).coldBound;
-    account.sends.add(sends, bound.exists() ? bound.most() : account.toldBound.most(), now);
+    state.sends.add(sends, bound.exists() ? bound.most() : state.reportedBound.most(), now);
 }
 
-void InFlightLedger::told(VMId from, UpstreamId upstream, size_t ownInFlight, Instant now)
+void InFlightCounter::report(VMId from, UpstreamId upstream, size_t ownInFlight, Instant now)
 {
-    auto& account = this->account(upstream, now);
-    auto& shares = account.shares;
-    auto const known = shares.find(from);
-    auto const before = known == shares.end() ? 0 : known->second.count;
-    noteSends(upstream, account, ownInFlight > before ? ownInFlight - before : 0, now);
+    auto& state = stateOf(upstream, now);
+    auto& daemonCounts = state.daemonCounts;
+    auto const previous = daemonCounts.find(from);
+    auto const previousCount = previous == daemonCounts.end() ? 0 : previous->second.count;
+    recordSends(upstream, state, ownInFlight > previousCount ? ownInFlight - previousCount : 0, now);
     if (ownInFlight)
-        shares[from] = { ownInFlight, now };
+        daemonCounts[from] = { ownInFlight, now };
     else
-        shares.erase(from);
+        daemonCounts.erase(from);
 }
 
-void InFlightLedger::tick(Instant now)
+void InFlightCounter::tick(Instant now)
 {
-    for (auto entry = m_accounts.begin(); entry != m_accounts.end();) {
-        auto& account = entry->second;
-        auto const memory = ledgerMemory(m_forecast(entry->first).hold);
-        std::erase_if(account.shares, [&](auto const& share) { return now - share.second.heardAt > memory; });
-        bool const isForgotten = account.shares.empty() && now - account.heardAt > memory;
-        entry = isForgotten ? m_accounts.erase(entry) : std::next(entry);
+    for (auto entry = m_upstreams.begin(); entry != m_upstreams.end();) {
+        auto& state = entry->second;
+        auto const retention = inFlightRetention(m_forecast(entry->first).holdTime);
+        std::erase_if(state.daemonCounts, [&](auto const& daemonCount) { return now - daemonCount.second.updatedAt > retention; });
+        bool const isExpired = state.daemonCounts.empty() && now - state.updatedAt > retention;
+        entry = isExpired ? m_upstreams.erase(entry) : std::next(entry);
     }
 }
 
-size_t InFlightLedger::count(UpstreamId upstream) const
+size_t InFlightCounter::count(UpstreamId upstream) const
 {
-    auto const found = m_accounts.find(upstream);
-    return found == m_accounts.end() ? 0 : sum(found->second);
+    auto const found = m_upstreams.find(upstream);
+    return found == m_upstreams.end() ? 0 : totalInFlight(found->second);
 }
 
 }
--- a/Libraries/LibRouting/InFlightCounter.h
+++ b/Libraries/LibRouting/InFlightCounter.h
@@ -2,9 +2,9 @@
 
 #include <LibBase/Ids.h>
 #include <LibBase/Time.h>
-#include <LibRouting/ColdBound.h>
-#include <LibRouting/LedgerMessage.h>
 #include <LibRouting/BoundedMap.h>
+#include <LibRouting/ColdBound.h>
+#include <LibRouting/PermitMessage.h>
 #include <LibRouting/SendWindow.h>
 #include <cstddef>
 #include <functional>
@@ -12,107 +12,109 @@
 
 namespace Stagepost {
 
-// What a daemon believes of an upstream without asking its owner.
+// A daemon's estimate of the state of an upstream, made without a request to the upstream's owner.
 struct UpstreamForecast {
-    // What all daemons are likely to have in flight there.
+    // The expected number of requests that all daemons have in flight there.
     double inFlight { 0 };
-    // How long requests stay.
-    Microseconds hold { 0 };
-    // What the upstream takes while it is cold, and whether it is known to be.
+    // The mean time that a request is in flight.
+    Microseconds holdTime { 0 };
+    // The rate that the upstream handles while it is cold, and whether it is known to be cold.
     ColdBound coldBound {};
     bool isCold { false };
-    // Whether what upstreams of the service usually get fits into the bound: then it can be
-    // kept as well while nobody knows yet that the upstream has become cold.
-    bool hasRoomForCaution { false };
+    // Whether the usual rate of the service's upstreams is within the cold bound. If so, the bound
+    // is also enforced on upstreams that are not known to be cold, since one may have become cold
+    // without any daemon knowing yet.
+    bool canAlwaysEnforceColdBound { false };
 };
 
-// What an owner says to an ask.
-struct LedgerVerdict {
+// An owner's decision on a permit request.
+struct PermitDecision {
     bool isGranted { false };
-    // What the upstream holds besides what was asked for.
+    // The requests in flight at the upstream, without the requested one.
     size_t count { 0 };
-    // Whether it is cold, or may be, and was sent all that it can take by now: it gets nothing
-    // further, whatever the others hold.
+    // Whether the upstream is cold or may be, and its cold quota is used up. Then the request must
+    // not go there, however loaded the other candidates are.
     bool isExhausted { false };
-    // The context is new to the upstream.
-    bool isNewThere { false };
+    // Whether the context has not been placed on the upstream before.
+    bool isContextNew { false };
 };
 
-// What a daemon is to an upstream about which it is asked.
+// A daemon's rank as owner of an upstream for which it receives a permit request.
 enum class OwnerRank : uint8_t {
-    First,
-    // Another daemon may be asked as well, or may have been until now.
-    Next,
-    // At least two others go before it.
-    Further,
+    Primary,
+    // Another daemon may receive requests too, or may have received them until recently.
+    Secondary,
+    // At least two daemons precede it, or the daemon has only just started.
+    Other,
 };
 
-// How a daemon stands to an upstream about which it is asked.
-struct OwnerStanding {
-    OwnerRank rank { OwnerRank::Further };
-    // Whether no other daemon goes before it, so that what it counts is all that there is.
-    bool isFirst { false };
+// Whether and how a daemon owns an upstream for which it receives a permit request.
+struct OwnerStatus {
+    OwnerRank rank { OwnerRank::Other };
+    // Whether no other daemon precedes it, so that its count is complete.
+    bool isFirstChoice { false };
 };
 
-// The exact count of requests in flight at upstreams, kept by the daemon that owns them:
-// every other one asks it before a send and tells it of the end. What a daemon says is
-// always all that it has there, so a message that was lost is made good by the next one,
-// and what is heard no more is forgotten.
-class InFlightLedger {
+// Counts the requests in flight at the upstreams that this daemon owns, and grants permits for
+// further ones. Every other daemon requests a permit from the owner before it sends a request, and
+// reports when the request has finished. Messages contain the sender's total count at the upstream,
+// so a lost message is corrected by the next one; counts that are not refreshed expire.
+class InFlightCounter {
 public:
     using Forecast = std::function<UpstreamForecast(UpstreamId)>;
 
-    explicit InFlightLedger(Forecast forecast)
+    explicit InFlightCounter(Forecast forecast)
         : m_forecast(std::move(forecast))
     {
     }
 
-    // A daemon that has so many in flight there asks whether it may send one more: it may
-    // if the upstream holds fewer than the limit. What is granted is counted at once.
-    // A cold upstream gets no more than it can take, by the rank of the one who answers.
-    LedgerVerdict ask(VMId from, LedgerAsk const&, OwnerStanding, Instant now);
-    // A daemon has so many in flight there.
-    void told(VMId from, UpstreamId, size_t ownInFlight, Instant now);
-    // Drops what is too old to be true.
+    // Decides whether a daemon may send one more request to the upstream. It is granted if fewer
+    // requests than the limit are in flight there, and is then counted immediately. For a cold
+    // upstream, grants are also limited to the quota of this daemon's owner rank.
+    PermitDecision requestPermit(VMId from, PermitRequest const&, OwnerStatus, Instant now);
+    // Sets the number of requests that a daemon has in flight at the upstream.
+    void report(VMId from, UpstreamId, size_t ownInFlight, Instant now);
+    // Removes counts that have expired.
     void tick(Instant now);
 
     size_t count(UpstreamId) const;
 
 private:
-    struct Share {
+    struct DaemonCount {
         size_t count { 0 };
-        Instant heardAt;
+        Instant updatedAt;
     };
-    // Of one upstream, whose own memory has room for fewer.
-    static constexpr size_t mostContextsKnown = 16384;
-    struct Account {
-        std::map<VMId, Share> shares;
-        // Where the upstream may be cold.
+    // An upstream caches fewer contexts than this.
+    static constexpr size_t maxContextsPerUpstream = 16384;
+    struct UpstreamState {
+        std::map<VMId, DaemonCount> daemonCounts;
+        // Recent sends, which are compared with the cold bound.
         SendWindow sends;
-        // What an asker knew before this daemon did.
-        ColdBound toldBound;
-        Instant toldColdUntil;
-        // Which contexts went there.
-        BoundedMap<uint64_t, bool> contexts { mostContextsKnown };
-        // When this daemon was first asked, or told, about the upstream.
-        Instant since;
-        Instant heardAt;
+        // The cold bound and the end of the cold phase as reported by requesting daemons, which
+        // may know of them before this daemon does.
+        ColdBound reportedBound;
+        Instant reportedColdUntil;
+        // Contexts that were placed on the upstream.
+        BoundedMap<uint64_t, bool> contexts { maxContextsPerUpstream };
+        // When the first message about the upstream arrived.
+        Instant createdAt;
+        Instant updatedAt;
     };
 
-    Account& account(UpstreamId, Instant now);
-    static size_t believed(UpstreamForecast const&, Account const&, bool isFirstOwner, Instant now);
-    void noteSends(UpstreamId, Account&, size_t sends, Instant now);
-    static size_t partOf(OwnerRank, ColdBound const&);
-    static void noteCold(Account&, ColdNotice const&, Instant now);
-    static size_t sum(Account const&);
+    UpstreamState& stateOf(UpstreamId, Instant now);
+    static size_t estimate(UpstreamForecast const&, UpstreamState const&, bool isFirstOwner, Instant now);
+    void recordSends(UpstreamId, UpstreamState&, size_t sends, Instant now);
+    static size_t coldQuota(OwnerRank, ColdBound const&);
+    static void recordColdNotice(UpstreamState&, ColdNotice const&, Instant now);
+    static size_t totalInFlight(UpstreamState const&);
 
     Forecast m_forecast;
-    std::map<UpstreamId, Account> m_accounts;
+    std::map<UpstreamId, UpstreamState> m_upstreams;
 };
 
-// How long a daemon's word about its requests in flight counts, and after what part of
-// that it is said again, where they stay for so long.
-Microseconds ledgerMemory(Microseconds hold);
-Microseconds ledgerRepeat(Microseconds hold);
+// How long a daemon's reported in-flight count remains valid, and the interval at which the daemon
+// repeats it while requests are in flight.
+Microseconds inFlightRetention(Microseconds holdTime);
+Microseconds inFlightReportInterval(Microseconds holdTime);
 
 }
--- a/Libraries/LibRouting/PermitMessage.cpp
+++ b/Libraries/LibRouting/PermitMessage.cpp
@@ -1,4 +1,4 @@
-#include <LibRouting/LedgerMessage.h>
+#include <LibRouting/PermitMessage.h>
 
 #include <LibBase/MessageReader.h>
 #include <LibBase/MessageWriter.h>
@@ -9,110 +9,111 @@
 
 namespace {
 
-    // The order is the wire's: an alternative's number stands before it.
+    // Encoded in front of each message. Up to Report, the values are the indices of the variant's
+    // alternatives, so the order is part of the wire format.
     enum class Kind : uint8_t {
-        Ask,
-        Answer,
+        Request,
+        Response,
         Report,
-        AskWithContext,
+        RequestWithContext,
     };
 
-    // Of the number at the end of an answer; daemons of earlier versions send the first alone.
+    // Bits of the optional last number of a response. Daemons of earlier versions only send the first.
     constexpr uint64_t exhaustedFlag = 1;
-    constexpr uint64_t newThereFlag = 2;
+    constexpr uint64_t contextNewFlag = 2;
 
-    // Of a rate, what is told: thousandths of a request a second.
-    constexpr double rateUnit = 1000;
+    // Rates are transmitted in thousandths of a request per second.
+    constexpr double rateUnitsPerRequest = 1000;
 
     void write(MessageWriter& writer, ColdNotice const& notice)
     {
-        writer.number(static_cast<uint64_t>(notice.bound.perSecond * rateUnit));
+        writer.number(static_cast<uint64_t>(notice.bound.perSecond * rateUnitsPerRequest));
         writer.number(notice.bound.most());
         writer.duration(notice.left);
     }
 
-    // The bound as a sum: how it came about does not matter to the owner.
+    // Only the resulting maximum is transmitted, so it is expressed as a rate plus slack.
     ColdNotice readColdNotice(MessageReader& reader)
     {
         ColdNotice notice;
-        notice.bound.perSecond = static_cast<double>(reader.number()) / rateUnit;
+        notice.bound.perSecond = static_cast<double>(reader.number()) / rateUnitsPerRequest;
         auto const most = static_cast<double>(reader.number());
         notice.bound.slack = std::max(0.0, most - notice.bound.perSecond);
         notice.left = reader.duration();
         return notice;
     }
 
-    void write(MessageWriter& writer, LedgerAsk const& ask)
+    void write(MessageWriter& writer, PermitRequest const& request)
     {
-        writer.number(ask.number);
-        writer.id(ask.upstream);
-        writer.number(ask.ownInFlight);
-        writer.number(ask.limit);
-        if (ask.context)
-            writer.number(*ask.context);
-        if (ask.cold)
-            write(writer, *ask.cold);
+        writer.number(request.requestId);
+        writer.id(request.upstream);
+        writer.number(request.ownInFlight);
+        writer.number(request.limit);
+        if (request.context)
+            writer.number(*request.context);
+        if (request.cold)
+            write(writer, *request.cold);
     }
 
-    void write(MessageWriter& writer, LedgerAnswer const& answer)
+    void write(MessageWriter& writer, PermitResponse const& response)
     {
-        writer.number(answer.number);
-        writer.number(answer.isGranted ? 1 : 0);
-        writer.number(answer.count);
-        auto const flags = (answer.isExhausted ? exhaustedFlag : 0) | (answer.isNewThere ? newThereFlag : 0);
+        writer.number(response.requestId);
+        writer.number(response.isGranted ? 1 : 0);
+        writer.number(response.count);
+        auto const flags = (response.isExhausted ? exhaustedFlag : 0) | (response.isContextNew ? contextNewFlag : 0);
         if (flags)
             writer.number(flags);
     }
 
-    void write(MessageWriter& writer, LedgerReport const& report)
+    void write(MessageWriter& writer, InFlightReport const& report)
     {
         writer.id(report.upstream);
         writer.number(report.ownInFlight);
     }
 
-    LedgerAsk readAsk(MessageReader& reader, bool hasContext)
+    PermitRequest readRequest(MessageReader& reader, bool hasContext)
     {
-        LedgerAsk ask;
-        ask.number = reader.number();
-        ask.upstream = reader.id<UpstreamId>();
-        ask.ownInFlight = reader.number();
-        ask.limit = reader.number();
+        PermitRequest request;
+        request.requestId = reader.number();
+        request.upstream = reader.id<UpstreamId>();
+        request.ownInFlight = reader.number();
+        request.limit = reader.number();
         if (hasContext)
-            ask.context = reader.number();
+            request.context = reader.number();
         if (!reader.finished())
-            ask.cold = readColdNotice(reader);
-        return ask;
+            request.cold = readColdNotice(reader);
+        return request;
     }
 
-    LedgerAnswer readAnswer(MessageReader& reader)
+    PermitResponse readResponse(MessageReader& reader)
     {
-        LedgerAnswer answer;
-        answer.number = reader.number();
-        answer.isGranted = reader.number() != 0;
-        answer.count = reader.number();
+        PermitResponse response;
+        response.requestId = reader.number();
+        response.isGranted = reader.number() != 0;
+        response.count = reader.number();
         auto const flags = reader.finished() ? 0 : reader.number();
-        answer.isExhausted = (flags & exhaustedFlag) != 0;
-        answer.isNewThere = (flags & newThereFlag) != 0;
-        return answer;
+        response.isExhausted = (flags & exhaustedFlag) != 0;
+        response.isContextNew = (flags & contextNewFlag) != 0;
+        return response;
     }
 
-    LedgerReport readReport(MessageReader& reader)
+    InFlightReport readReport(MessageReader& reader)
     {
-        LedgerReport report;
+        InFlightReport report;
         report.upstream = reader.id<UpstreamId>();
         report.ownInFlight = reader.number();
         return report;
     }
 
-    std::optional<LedgerMessage> readMessage(MessageReader& reader)
+    std::optional<PermitMessage> readMessage(MessageReader& reader)
     {
         switch (static_cast<Kind>(reader.number())) {
-        case Kind::Ask:
-            return readAsk(reader, false);
-        case Kind::AskWithContext:
-            return readAsk(reader, true);
-        case Kind::Answer:
-            return readAnswer(reader);
+        case Kind::Request:
+            return readRequest(reader, false);
+        case Kind::RequestWithContext:
+            return readRequest(reader, true);
+        case Kind::Response:
+            return readResponse(reader);
         case Kind::Report:
             return readReport(reader);
         }
@@ -121,21 +122,21 @@
 
 }
 
-std::string encodeLedgerMessage(LedgerMessage const& message)
+std::string encodePermitMessage(PermitMessage const& message)
 {
     MessageWriter writer;
-    auto const* ask = std::get_if<LedgerAsk>(&message);
-    writer.number(ask && ask->context ? static_cast<uint64_t>(Kind::AskWithContext) : message.index());
+    auto const* request = std::get_if<PermitRequest>(&message);
+    writer.number(request && request->context ? static_cast<uint64_t>(Kind::RequestWithContext) : message.index());
     std::visit([&writer](auto const& each) { write(writer, each); }, message);
     return writer.release();
 }
 
-Result<LedgerMessage> decodeLedgerMessage(std::string_view bytes)
+Result<PermitMessage> decodePermitMessage(std::string_view bytes)
 {
     MessageReader reader(bytes);
     auto const message = readMessage(reader);
     if (!message || !reader.finished())
-        return Error { ErrorCode::Malformed, "not a message about requests in flight" };
+        return Error { ErrorCode::Malformed, "malformed permit message" };
     return *message;
 }
 
--- a/Libraries/LibRouting/PermitMessage.h
+++ b/Libraries/LibRouting/PermitMessage.h
@@ -11,45 +11,45 @@
 
 namespace Stagepost {
 
-// Asks an upstream's owner whether one more request may be sent there.
-struct LedgerAsk {
-    // The asker's own number of the ask.
-    uint64_t number { 0 };
+// Requests a permit from an upstream's owner to send one more request there.
+struct PermitRequest {
+    // Assigned by the sender, and returned in the response.
+    uint64_t requestId { 0 };
     UpstreamId upstream;
-    // What the asker has in flight there without it.
+    // The sender's requests in flight at the upstream, without this one.
     uint64_t ownInFlight { 0 };
-    // It may be sent if the upstream holds fewer than these.
+    // The permit is granted if fewer requests than this are in flight at the upstream.
     uint64_t limit { 0 };
-    // The asker knows that the upstream is cold; the owner may not know yet. Daemons of
-    // earlier versions do not understand such an ask, and it is as if they were gone.
+    // Set if the sender knows that the upstream is cold, which the owner may not know yet. Daemons
+    // of earlier versions reject a request with this field, so that they appear to be unresponsive.
     std::optional<ColdNotice> cold {};
-    // The context that goes there, where the request has one. Daemons of earlier versions do not
-    // understand such an ask either.
+    // The context that would be placed on the upstream, if any. Daemons of earlier versions reject a
+    // request with this field as well.
     std::optional<uint64_t> context {};
 };
 
-struct LedgerAnswer {
-    uint64_t number { 0 };
+struct PermitResponse {
+    uint64_t requestId { 0 };
     bool isGranted { false };
-    // What the upstream holds without it.
+    // The requests in flight at the upstream, without the requested one.
     uint64_t count { 0 };
-    // The upstream is cold and gets nothing further by now. Daemons of earlier versions do
-    // not understand such an answer, and go on as if none had come.
+    // The cold quota of the upstream is used up. Daemons of earlier versions reject a response with
+    // this field, and continue as if there had been no response.
     bool isExhausted { false };
-    // The upstream has not had the context, as far as its owner knows.
-    bool isNewThere { false };
+    // The context has not been placed on the upstream before, as far as the owner knows.
+    bool isContextNew { false };
 };
 
-// What the sender has in flight at an upstream of the receiver's.
-struct LedgerReport {
+// Reports the sender's requests in flight at an upstream that the receiver owns.
+struct InFlightReport {
     UpstreamId upstream;
     uint64_t ownInFlight { 0 };
 };
 
-using LedgerMessage = std::variant<LedgerAsk, LedgerAnswer, LedgerReport>;
+using PermitMessage = std::variant<PermitRequest, PermitResponse, InFlightReport>;
 
-std::string encodeLedgerMessage(LedgerMessage const&);
+std::string encodePermitMessage(PermitMessage const&);
 // Error: Malformed.
-Result<LedgerMessage> decodeLedgerMessage(std::string_view bytes);
+Result<PermitMessage> decodePermitMessage(std::string_view bytes);
 
 }
