--- a/Libraries/LibRouting/PermitExchange.cpp
+++ b/Libraries/LibRouting/PermitExchange.cpp
@@ -1,4 +1,4 @@
-#include <LibRouting/LedgerExchange.h>
+#include <LibRouting/PermitExchange.h>
 
 #include <LibBase/Hash.h>
 #include <algorithm>
@@ -7,12 +7,12 @@
 
 namespace {
 
-    // An answer to an older ask tells nothing of how the owner does now.
-    constexpr size_t mostOverdueKept = 64;
+    // Responses to older requests say nothing about the present state of an owner.
+    constexpr size_t maxTimedOutRequests = 64;
 
 }
 
-void LedgerExchange::setPeers(std::vector<FleetPeer> peers, std::vector<VMId> const& relays, Instant now)
+void PermitExchange::setPeers(std::vector<FleetPeer> peers, std::vector<VMId> const& relays, Instant now)
 {
     m_relays = std::set(relays.begin(), relays.end());
     m_peers = std::move(peers);
@@ -20,16 +20,16 @@
     std::erase_if(m_suspectedUntil, [this](auto const& suspected) {
         return std::none_of(m_peers.begin(), m_peers.end(), [&](auto const& peer) { return peer.id == suspected.first; });
     });
-    auto owners = hallsOwners();
+    auto owners = ownerCandidates();
     if (!m_startedAt)
         m_startedAt = now;
-    if (owners == m_hallsOwners)
+    if (owners == m_ownerCandidates)
         return;
-    m_hallsOwners = std::move(owners);
+    m_ownerCandidates = std::move(owners);
     m_ownersSince = now;
 }
 
-std::vector<std::pair<VMId, bool>> LedgerExchange::hallsOwners() const
+std::vector<std::pair<VMId, bool>> PermitExchange::ownerCandidates() const
 {
     std::vector<std::pair<VMId, bool>> owners { { m_self.id, m_relays.contains(m_self.id) } };
     for (auto const& peer : m_peers) {
@@ -40,36 +40,36 @@
     return owners;
 }
 
-// Of the daemons of its hall, those that are asked before this one.
-size_t LedgerExchange::ownersBefore(UpstreamId upstream) const
+// Returns how many daemons of this hall precede this one in the upstream's rendezvous order.
+size_t PermitExchange::precedingOwnerCount(UpstreamId upstream) const
 {
-    auto const place = [&](std::pair<VMId, bool> const& owner) { return std::pair(!owner.second, mixHashes(upstream.value(), owner.first.value())); };
-    auto const own = place({ m_self.id, m_relays.contains(m_self.id) });
-    return static_cast<size_t>(std::count_if(m_hallsOwners.begin(), m_hallsOwners.end(), [&](auto const& owner) { return place(owner) > own; }));
+    auto const rankOf = [&](std::pair<VMId, bool> const& owner) { return std::pair(!owner.second, mixHashes(upstream.value(), owner.first.value())); };
+    auto const self = rankOf({ m_self.id, m_relays.contains(m_self.id) });
+    return static_cast<size_t>(std::count_if(m_ownerCandidates.begin(), m_ownerCandidates.end(), [&](auto const& owner) { return rankOf(owner) > self; }));
 }
 
-// While daemons come and go, each asks whom it takes for the owner by then; whoever starts
-// may know of itself alone.
-OwnerStanding LedgerExchange::standingFor(UpstreamId upstream, Instant now) const
+// While the hall's daemons change, the others may disagree on the owner. A daemon that has just
+// started may not know of any other.
+OwnerStatus PermitExchange::ownerStatusFor(UpstreamId upstream, Instant now) const
 {
-    auto const before = ownersBefore(upstream);
-    bool const isFirst = before == 0;
-    if (!m_startedAt || now - *m_startedAt < m_bounds.ownersSettle || before > 1)
-        return { OwnerRank::Further, isFirst };
-    bool const isSettled = now - m_ownersSince >= m_bounds.ownersSettle;
-    return { isFirst && isSettled ? OwnerRank::First : OwnerRank::Next, isFirst };
+    auto const precedingCount = precedingOwnerCount(upstream);
+    bool const isFirstChoice = precedingCount == 0;
+    if (!m_startedAt || now - *m_startedAt < m_bounds.ownershipSettleTime || precedingCount > 1)
+        return { OwnerRank::Other, isFirstChoice };
+    bool const isSettled = now - m_ownersSince >= m_bounds.ownershipSettleTime;
+    return { isFirstChoice && isSettled ? OwnerRank::Primary : OwnerRank::Secondary, isFirstChoice };
 }
 
-LedgerVerdict LedgerExchange::judge(VMId from, LedgerAsk const& ask, Instant now)
+PermitDecision PermitExchange::decide(VMId from, PermitRequest const& request, Instant now)
 {
-    auto const verdict = m_ledger.ask(from, ask, standingFor(ask.upstream, now), now);
-    m_exhaustedAsks += verdict.isExhausted ? 1 : 0;
-    return verdict;
+    auto const decision = m_inFlightCounter.requestPermit(from, request, ownerStatusFor(request.upstream, now), now);
+    m_deniedColdRequests += decision.isExhausted ? 1 : 0;
+    return decision;
 }
 
-// The first daemon of the upstream's hall, by an order that all agree on, that is not
-// suspected: if the hall is cut off, the upstream is cut off with it.
-std::optional<VMId> LedgerExchange::ownerOf(UpstreamId upstream, HallId hall, Instant now) const
+// Returns the first daemon in the rendezvous order of the upstream's hall that is not suspected. An
+// owner in the same hall is partitioned from the fleet only together with its upstream.
+std::optional<VMId> PermitExchange::ownerOf(UpstreamId upstream, HallId hall, Instant now) const
 {
     std::optional<VMId> owner;
     std::pair<bool, uint64_t> highest;
@@ -91,249 +91,251 @@
     return owner;
 }
 
-Microseconds LedgerExchange::patience() const
+Microseconds PermitExchange::responseTimeout() const
 {
     auto const bound = m_roundTrip.bound();
-    return bound == Microseconds(0) ? m_bounds.longestPatience : std::clamp(bound, m_bounds.shortestPatience, m_bounds.longestPatience);
+    return bound == Microseconds(0) ? m_bounds.maxResponseTimeout : std::clamp(bound, m_bounds.minResponseTimeout, m_bounds.maxResponseTimeout);
 }
 
-size_t LedgerExchange::ownAt(UpstreamId upstream) const
+size_t PermitExchange::localInFlight(UpstreamId upstream) const
 {
-    auto const found = m_own.find(upstream);
-    return found == m_own.end() ? 0 : found->second.count;
+    auto const found = m_localCounts.find(upstream);
+    return found == m_localCounts.end() ? 0 : found->second.count;
 }
 
-// Asks on their way may be granted, each for one request.
-size_t LedgerExchange::askedFor(UpstreamId upstream) const
+// Each pending permit request may be granted and counts as one request.
+size_t PermitExchange::pendingRequestsFor(UpstreamId upstream) const
 {
     return static_cast<size_t>(std::count_if(m_pending.begin(), m_pending.end(), [&](auto const& entry) {
         auto const& pending = entry.second;
-        return pending.index < pending.candidates.size() && pending.candidates[pending.index].upstream == upstream;
+        return pending.candidateIndex < pending.candidates.size() && pending.candidates[pending.candidateIndex].upstream == upstream;
     }));
 }
 
-void LedgerExchange::choose(Wish wish, Callback callback, Instant now)
+void PermitExchange::choose(CandidateList candidates, Callback callback, Instant now)
 {
-    auto const number = ++m_lastNumber;
+    auto const requestId = ++m_lastRequestId;
     Pending pending;
-    pending.context = wish.context;
-    pending.candidates = std::move(wish.candidates);
+    pending.context = candidates.context;
+    pending.candidates = std::move(candidates.candidates);
     pending.callback = std::move(callback);
-    m_pending.emplace(number, std::move(pending));
-    ask(number, now);
+    m_pending.emplace(requestId, std::move(pending));
+    sendRequest(requestId, now);
 }
 
-void LedgerExchange::ask(uint64_t number, Instant now)
+void PermitExchange::sendRequest(uint64_t requestId, Instant now)
 {
-    auto& pending = m_pending.at(number);
-    if (pending.index >= pending.candidates.size())
-        return conclude(number, now);
-    auto const& candidate = pending.candidates[pending.index];
-    auto const owner = pending.ownersAsked < m_bounds.mostOwners ? ownerOf(candidate.upstream, candidate.hall, now) : std::nullopt;
+    auto& pending = m_pending.at(requestId);
+    if (pending.candidateIndex >= pending.candidates.size())
+        return concludeWithoutPermit(requestId, now);
+    auto const& candidate = pending.candidates[pending.candidateIndex];
+    auto const owner = pending.ownersTried < m_bounds.maxOwnersPerUpstream ? ownerOf(candidate.upstream, candidate.hall, now) : std::nullopt;
     if (!owner)
-        return conclude(number, now);
+        return concludeWithoutPermit(requestId, now);
     pending.owner = *owner;
-    pending.askedAt = now;
-    pending.dueAt = now + patience();
-    ++pending.asks;
-    ++pending.ownersAsked;
-    auto const own = ownAt(candidate.upstream) + askedFor(candidate.upstream) - 1;
-    LedgerAsk const ask { number, candidate.upstream, own, candidate.limit, candidate.cold, pending.context };
+    pending.sentAt = now;
+    pending.deadline = now + responseTimeout();
+    ++pending.requests;
+    ++pending.ownersTried;
+    auto const local = localInFlight(candidate.upstream) + pendingRequestsFor(candidate.upstream) - 1;
+    PermitRequest const request { requestId, candidate.upstream, local, candidate.limit, candidate.cold, pending.context };
     if (*owner == m_self.id)
-        return takeAnswer(number, judge(m_self.id, ask, now), now);
-    m_hooks.send(*owner, encodeLedgerMessage(ask));
+        return handleResponse(requestId, decide(m_self.id, request, now), now);
+    m_hooks.send(*owner, encodePermitMessage(request));
 }
 
-void LedgerExchange::takeAnswer(uint64_t number, LedgerVerdict const& verdict, Instant now)
+void PermitExchange::handleResponse(uint64_t requestId, PermitDecision const& decision, Instant now)
 {
-    auto& pending = m_pending.at(number);
-    auto const candidate = pending.candidates[pending.index];
-    if (verdict.isGranted) {
-        count(candidate.upstream, candidate.hall, pending.owner, now);
-        return finish(number, { candidate.upstream, true, pending.asks, pending.exhausted, false, verdict.count, candidate.limit, verdict.isNewThere });
+    auto& pending = m_pending.at(requestId);
+    auto const candidate = pending.candidates[pending.candidateIndex];
+    if (decision.isGranted) {
+        addLocalRequest(candidate.upstream, candidate.hall, pending.owner, now);
+        return complete(requestId, { candidate.upstream, true, pending.requests, pending.exhausted, false, decision.count, candidate.limit, decision.isContextNew });
     }
-    bool const isLeast = !pending.least || verdict.count < pending.leastCount;
-    if (verdict.isExhausted) {
+    bool const isLeast = !pending.leastLoaded || decision.count < pending.leastLoadedCount;
+    if (decision.isExhausted) {
         pending.exhausted.push_back(candidate.upstream);
     } else if (isLeast) {
-        pending.least = pending.index;
-        pending.leastCount = verdict.count;
-        pending.isNewAtLeast = verdict.isNewThere;
+        pending.leastLoaded = pending.candidateIndex;
+        pending.leastLoadedCount = decision.count;
+        pending.isContextNewAtLeastLoaded = decision.isContextNew;
     }
-    goOn(number, now);
+    tryNextCandidate(requestId, now);
 }
 
-void LedgerExchange::goOn(uint64_t number, Instant now)
+void PermitExchange::tryNextCandidate(uint64_t requestId, Instant now)
 {
-    auto& pending = m_pending.at(number);
-    ++pending.index;
-    pending.ownersAsked = 0;
-    if (pending.index < pending.candidates.size() && m_furtherAsks.take(m_bounds.furtherAsksPerSecond, now))
-        ask(number, now);
+    auto& pending = m_pending.at(requestId);
+    ++pending.candidateIndex;
+    pending.ownersTried = 0;
+    if (pending.candidateIndex < pending.candidates.size() && m_extraRequests.take(m_bounds.extraRequestsPerSecond, now))
+        sendRequest(requestId, now);
     else
-        conclude(number, now);
+        concludeWithoutPermit(requestId, now);
 }
 
-// All have been asked that could be: the least loaded of those that are known takes it.
-void LedgerExchange::conclude(uint64_t number, Instant now)
+// No further candidate can be tried, so the least loaded one whose owner has responded is chosen.
+void PermitExchange::concludeWithoutPermit(uint64_t requestId, Instant now)
 {
-    auto& pending = m_pending.at(number);
-    Outcome outcome { {}, false, pending.asks, pending.exhausted };
-    if (pending.least) {
-        auto const candidate = pending.candidates[*pending.least];
-        if (candidate.most && !pending.isLastAsk && pending.leastCount < *candidate.most)
-            return askForMost(number, candidate, now);
-        outcome.isFull = candidate.most.has_value();
+    auto& pending = m_pending.at(requestId);
+    Outcome outcome { {}, false, pending.requests, pending.exhausted };
+    if (pending.leastLoaded) {
+        auto const candidate = pending.candidates[*pending.leastLoaded];
+        if (candidate.hardLimit && !pending.isFinalRequest && pending.leastLoadedCount < *candidate.hardLimit)
+            return requestUpToHardLimit(requestId, candidate, now);
+        outcome.isFull = candidate.hardLimit.has_value();
     }
-    if (pending.least && !outcome.isFull) {
-        auto const candidate = pending.candidates[*pending.least];
+    if (pending.leastLoaded && !outcome.isFull) {
+        auto const candidate = pending.candidates[*pending.leastLoaded];
         outcome.upstream = candidate.upstream;
-        outcome.counted = pending.leastCount;
-        outcome.isNewThere = pending.isNewAtLeast;
+        outcome.inFlight = pending.leastLoadedCount;
+        outcome.isContextNew = pending.isContextNewAtLeastLoaded;
         outcome.limit = candidate.limit;
-        began(candidate.upstream, candidate.hall, now);
+        requestStarted(candidate.upstream, candidate.hall, now);
     }
-    finish(number, outcome);
+    complete(requestId, outcome);
 }
 
-// Others may have sent there since it answered, so what is bounded is granted by its owner.
-void LedgerExchange::askForMost(uint64_t number, Candidate candidate, Instant now)
+// Other daemons may have sent requests there since the owner responded, so the hard limit can only
+// be enforced by another permit.
+void PermitExchange::requestUpToHardLimit(uint64_t requestId, Candidate candidate, Instant now)
 {
-    auto& pending = m_pending.at(number);
-    pending.isLastAsk = true;
-    pending.index = pending.candidates.size();
-    pending.ownersAsked = 0;
-    candidate.limit = *candidate.most;
+    auto& pending = m_pending.at(requestId);
+    pending.isFinalRequest = true;
+    pending.candidateIndex = pending.candidates.size();
+    pending.ownersTried = 0;
+    candidate.limit = *candidate.hardLimit;
     pending.candidates.push_back(candidate);
-    ask(number, now);
+    sendRequest(requestId, now);
 }
 
-void LedgerExchange::finish(uint64_t number, Outcome const& outcome)
+void PermitExchange::complete(uint64_t requestId, Outcome const& outcome)
 {
-    auto pending = m_pending.extract(number);
+    auto pending = m_pending.extract(requestId);
     pending.mapped().callback(outcome);
 }
 
-LedgerExchange::Own& LedgerExchange::count(UpstreamId upstream, HallId hall, VMId owner, Instant now)
+PermitExchange::LocalCount& PermitExchange::addLocalRequest(UpstreamId upstream, HallId hall, VMId owner, Instant now)
 {
-    auto& own = m_own[upstream];
-    ++own.count;
-    own.hall = hall;
-    own.toldTo = owner;
-    own.toldAt = now;
-    return own;
+    auto& local = m_localCounts[upstream];
+    ++local.count;
+    local.hall = hall;
+    local.reportedTo = owner;
+    local.reportedAt = now;
+    return local;
 }
 
-void LedgerExchange::began(UpstreamId upstream, HallId hall, Instant now)
+void PermitExchange::requestStarted(UpstreamId upstream, HallId hall, Instant now)
 {
     auto const owner = ownerOf(upstream, hall, now);
-    auto& own = count(upstream, hall, owner.value_or(m_self.id), now);
+    auto& local = addLocalRequest(upstream, hall, owner.value_or(m_self.id), now);
     if (owner)
-        report(upstream, own, now);
+        sendReport(upstream, local, now);
 }
 
-void LedgerExchange::ended(UpstreamId upstream, Instant now)
+void PermitExchange::requestFinished(UpstreamId upstream, Instant now)
 {
-    auto const found = m_own.find(upstream);
-    if (found == m_own.end())
+    auto const found = m_localCounts.find(upstream);
+    if (found == m_localCounts.end())
         return;
-    auto& own = found->second;
-    --own.count;
-    report(upstream, own, now);
-    if (!own.count)
-        m_own.erase(found);
+    auto& local = found->second;
+    --local.count;
+    sendReport(upstream, local, now);
+    if (!local.count)
+        m_localCounts.erase(found);
 }
 
-void LedgerExchange::report(UpstreamId upstream, Own& own, Instant now)
+void PermitExchange::sendReport(UpstreamId upstream, LocalCount& local, Instant now)
 {
-    own.toldAt = now;
-    if (own.toldTo == m_self.id)
-        m_ledger.told(m_self.id, upstream, own.count, now);
+    local.reportedAt = now;
+    if (local.reportedTo == m_self.id)
+        m_inFlightCounter.report(m_self.id, upstream, local.count, now);
     else
-        m_hooks.send(own.toldTo, encodeLedgerMessage(LedgerReport { upstream, own.count }));
+        m_hooks.send(local.reportedTo, encodePermitMessage(InFlightReport { upstream, local.count }));
 }
 
-Result<void> LedgerExchange::receive(VMId from, std::string_view bytes, Instant now)
+Result<void> PermitExchange::receive(VMId from, std::string_view bytes, Instant now)
 {
-    auto const message = TRY(decodeLedgerMessage(bytes));
-    if (auto const* ask = std::get_if<LedgerAsk>(&message)) {
-        auto const verdict = judge(from, *ask, now);
-        m_hooks.send(from, encodeLedgerMessage(LedgerAnswer { ask->number, verdict.isGranted, verdict.count, verdict.isExhausted, verdict.isNewThere }));
+    auto const message = TRY(decodePermitMessage(bytes));
+    if (auto const* request = std::get_if<PermitRequest>(&message)) {
+        auto const decision = decide(from, *request, now);
+        m_hooks.send(from, encodePermitMessage(PermitResponse { request->requestId, decision.isGranted, decision.count, decision.isExhausted, decision.isContextNew }));
         return {};
     }
-    if (auto const* told = std::get_if<LedgerReport>(&message)) {
-        m_ledger.told(from, told->upstream, told->ownInFlight, now);
+    if (auto const* report = std::get_if<InFlightReport>(&message)) {
+        m_inFlightCounter.report(from, report->upstream, report->ownInFlight, now);
         return {};
     }
-    auto const& answer = std::get<LedgerAnswer>(message);
-    auto const found = m_pending.find(answer.number);
+    auto const& response = std::get<PermitResponse>(message);
+    auto const found = m_pending.find(response.requestId);
     if (found == m_pending.end() || found->second.owner != from) {
-        takeLateAnswer(answer.number, from, now);
+        handleLateResponse(response.requestId, from, now);
         return {};
     }
     m_suspectedUntil.erase(from);
-    m_roundTrip.add(now - found->second.askedAt);
-    takeAnswer(answer.number, { answer.isGranted, answer.count, answer.isExhausted, answer.isNewThere }, now);
+    m_roundTrip.add(now - found->second.sentAt);
+    handleResponse(response.requestId, { response.isGranted, response.count, response.isExhausted, response.isContextNew }, now);
     return {};
 }
 
-// What it may have granted was taken back at the time-out. The owner is there all the same, and
-// slower than was thought: while some daemons ask another one in its place, neither has the
-// whole count.
-void LedgerExchange::takeLateAnswer(uint64_t number, VMId from, Instant now)
+// Any permit in the late response was revoked by the report at the timeout. The response shows that
+// the owner is alive but slower than estimated. It is no longer suspected, since neither owner has a
+// complete count while some daemons use the next one.
+void PermitExchange::handleLateResponse(uint64_t requestId, VMId from, Instant now)
 {
-    auto const found = std::find_if(m_overdue.begin(), m_overdue.end(), [&](auto const& overdue) { return overdue.number == number && overdue.owner == from; });
-    if (found == m_overdue.end())
+    auto const found = std::find_if(m_timedOutRequests.begin(), m_timedOutRequests.end(), [&](auto const& timedOut) { return timedOut.requestId == requestId && timedOut.owner == from; });
+    if (found == m_timedOutRequests.end())
         return;
-    m_roundTrip.add(now - found->askedAt);
+    m_roundTrip.add(now - found->sentAt);
     m_suspectedUntil.erase(from);
-    m_overdue.erase(found);
+    m_timedOutRequests.erase(found);
 }
 
-// The owner may have granted what its answer did not tell in time.
-void LedgerExchange::noteTimeout(uint64_t number, Instant now)
+// The owner may have granted a permit whose response is late or lost. The report of the actual count
+// revokes it.
+void PermitExchange::handleTimeout(uint64_t requestId, Instant now)
 {
-    ++m_unansweredAsks;
-    auto const& pending = m_pending.at(number);
-    auto const upstream = pending.candidates[pending.index].upstream;
-    m_suspectedUntil[pending.owner] = now + m_bounds.suspicion;
-    m_overdue.push_back({ number, pending.owner, pending.askedAt });
-    if (m_overdue.size() > mostOverdueKept)
-        m_overdue.pop_front();
+    ++m_unansweredRequests;
+    auto const& pending = m_pending.at(requestId);
+    auto const upstream = pending.candidates[pending.candidateIndex].upstream;
+    m_suspectedUntil[pending.owner] = now + m_bounds.suspectDuration;
+    m_timedOutRequests.push_back({ requestId, pending.owner, pending.sentAt });
+    if (m_timedOutRequests.size() > maxTimedOutRequests)
+        m_timedOutRequests.pop_front();
     if (m_hooks.unanswered)
-        m_hooks.unanswered(pending.owner, upstream, now - pending.askedAt);
-    m_hooks.send(pending.owner, encodeLedgerMessage(LedgerReport { upstream, ownAt(upstream) }));
-    ask(number, now);
+        m_hooks.unanswered(pending.owner, upstream, now - pending.sentAt);
+    m_hooks.send(pending.owner, encodePermitMessage(InFlightReport { upstream, localInFlight(upstream) }));
+    sendRequest(requestId, now);
 }
 
-std::optional<Instant> LedgerExchange::nextTimeout() const
+std::optional<Instant> PermitExchange::nextTimeout() const
 {
     std::optional<Instant> next;
-    for (auto const& [number, pending] : m_pending)
-        next = std::min(next.value_or(pending.dueAt), pending.dueAt);
+    for (auto const& [requestId, pending] : m_pending)
+        next = std::min(next.value_or(pending.deadline), pending.deadline);
     return next;
 }
 
-void LedgerExchange::tick(Instant now)
+void PermitExchange::tick(Instant now)
 {
-    std::vector<uint64_t> overdue;
-    for (auto const& [number, pending] : m_pending) {
-        if (now >= pending.dueAt)
-            overdue.push_back(number);
+    std::vector<uint64_t> timedOut;
+    for (auto const& [requestId, pending] : m_pending) {
+        if (now >= pending.deadline)
+            timedOut.push_back(requestId);
     }
-    for (auto const number : overdue) {
-        if (m_pending.contains(number))
-            noteTimeout(number, now);
+    for (auto const requestId : timedOut) {
+        if (m_pending.contains(requestId))
+            handleTimeout(requestId, now);
     }
-    if (now - m_repeatedAt < m_bounds.repeatInterval)
+    if (now - m_housekeepingAt < m_bounds.housekeepingInterval)
         return;
-    m_repeatedAt = now;
-    m_ledger.tick(now);
-    for (auto& [upstream, own] : m_own) {
-        if (now - own.toldAt <= ledgerRepeat(m_hooks.forecast(upstream).hold))
+    m_housekeepingAt = now;
+    m_inFlightCounter.tick(now);
+    for (auto& [upstream, local] : m_localCounts) {
+        if (now - local.reportedAt <= inFlightReportInterval(m_hooks.forecast(upstream).holdTime))
             continue;
-        own.toldTo = ownerOf(upstream, own.hall, now).value_or(m_self.id);
-        report(upstream, own, now);
+        local.reportedTo = ownerOf(upstream, local.hall, now).value_or(m_self.id);
+        sendReport(upstream, local, now);
     }
 }
 
--- a/Libraries/LibRouting/PermitExchange.h
+++ b/Libraries/LibRouting/PermitExchange.h
@@ -2,8 +2,8 @@
 
 #include <LibBase/FleetPeer.h>
 #include <LibBase/TokenBucket.h>
-#include <LibRouting/InFlightLedger.h>
-#include <LibRouting/LedgerMessage.h>
+#include <LibRouting/InFlightCounter.h>
+#include <LibRouting/PermitMessage.h>
 #include <LibRouting/SilenceWatch.h>
 #include <deque>
 #include <functional>
@@ -13,185 +13,187 @@
 
 namespace Stagepost {
 
-// Asks upstreams' owners before a request is sent, and answers for the upstreams that this
-// daemon owns. Each upstream has one owner, a daemon of its hall that all agree on by
-// rendezvous, and only the owner counts its requests in flight; so the count is exact
-// while others are a second old, in which a whole fleet overruns an upstream. For the same
-// reason it is the owner who keeps the rate of an upstream that is cold.
+// Obtains a permit from an upstream's owner before a request is sent there, and grants permits for
+// the upstreams that this daemon owns. Rendezvous hashing assigns each upstream one owner among the
+// daemons of its hall, which alone counts the requests in flight there. Its count is exact, whereas
+// other load data is about a second old, in which time a whole fleet can overload an upstream. For
+// the same reason, the owner also limits the request rate of a cold upstream.
 //
-// An owner that does not answer costs a few milliseconds: then the next one in the order
-// is asked, and after that the request goes without. Nothing here is needed to serve.
-class LedgerExchange {
+// If an owner does not respond within a few milliseconds, the next daemon in the order is asked. If
+// that fails too, the request is placed without a permit, so serving does not depend on this class.
+class PermitExchange {
 public:
     struct Bounds {
-        // How long an owner's answer is waited for, by what answers take: a round trip
-        // between regions is 16 ms, one between halls 1 ms.
-        Microseconds shortestPatience { 5000 };
-        Microseconds longestPatience { 25000 };
-        // An owner that has not answered is not asked for that long.
-        Microseconds suspicion { 5000000 };
-        // Of one upstream, so many are asked before the request goes without.
-        size_t mostOwners { 2 };
-        // A request beyond its first ask pays for each from this: in a rush to all
-        // upstreams every one of them is full until the mean is known to have risen.
-        double furtherAsksPerSecond { 10 };
-        double furtherAsksAtOnce { 40 };
-        // After a daemon's start, and after each change of its hall's daemons, how long others
-        // may still ask another one about the upstreams that it owns.
-        Microseconds ownersSettle { 3000000 };
-        // How often what is due is looked for.
-        Microseconds repeatInterval { 500000 };
+        // The response timeout follows the measured round trips within this range. A round trip
+        // takes 16 ms between regions and 1 ms between halls.
+        Microseconds minResponseTimeout { 5000 };
+        Microseconds maxResponseTimeout { 25000 };
+        // How long no requests are sent to an owner that has timed out.
+        Microseconds suspectDuration { 5000000 };
+        // How many owners of one upstream are tried before the candidate search ends.
+        size_t maxOwnersPerUpstream { 2 };
+        // The token bucket for permit requests beyond the first candidate. During a load spike,
+        // all upstreams are at their limits until the rise of the mean is known, so every request
+        // would try all candidates.
+        double extraRequestsPerSecond { 10 };
+        double extraRequestBurst { 40 };
+        // How long after a daemon's start, or a change of its hall's daemons, other daemons may
+        // still consider another one the owner of its upstreams.
+        Microseconds ownershipSettleTime { 3000000 };
+        // The interval between removals of expired counts and checks for due reports.
+        Microseconds housekeepingInterval { 500000 };
     };
 
-    // An upstream to which a request may go.
+    // An upstream that a request can be sent to.
     struct Candidate {
         UpstreamId upstream;
         HallId hall;
-        // It is granted while the upstream holds fewer than these.
+        // A permit is granted while fewer requests than this are in flight there.
         size_t limit { 1 };
         std::optional<ColdNotice> cold {};
-        // What it may hold although no other has room; none where that is not bounded.
-        std::optional<size_t> most {};
+        // The limit that applies if no candidate grants a permit; empty if unlimited.
+        std::optional<size_t> hardLimit {};
     };
 
-    // The context, where there is one, and the upstreams, in its order.
-    struct Wish {
+    // The context of the request, if any, and the upstreams in the order of preference.
+    struct CandidateList {
         std::optional<uint64_t> context;
         std::vector<Candidate> candidates;
     };
 
     struct Outcome {
-        // Where it is to go; none where no owner has answered.
+        // The chosen upstream; empty if no owner has responded or none may be chosen.
         std::optional<UpstreamId> upstream;
-        // Whether the owner has room for it there, and not only less than the others hold.
+        // Whether the owner granted a permit. Otherwise, the least loaded candidate was chosen.
         bool isGranted { false };
-        size_t asks { 0 };
-        // Upstreams that are to get nothing further by now.
+        size_t requests { 0 };
+        // Upstreams that are or may be cold and whose quota is used up.
         std::vector<UpstreamId> exhausted {};
-        // Each that answered holds as much as it may: the request is to be turned away.
+        // Whether no permit was obtained even up to the hard limit, so that the request is rejected.
         bool isFull { false };
-        // What the owner of the chosen one counted there, and what allowed one more.
-        size_t counted { 0 };
+        // The owner's in-flight count at the chosen upstream, and the limit that applied.
+        size_t inFlight { 0 };
         size_t limit { 0 };
-        // The context is new to the chosen one, as far as its owner knows.
-        bool isNewThere { false };
+        // Whether the context has not been placed on the chosen upstream, as far as the owner knows.
+        bool isContextNew { false };
     };
     using Callback = std::function<void(Outcome const&)>;
 
     struct Hooks {
         std::function<void(VMId to, std::string bytes)> send;
-        InFlightLedger::Forecast forecast;
-        // An owner has not answered for so long, and is not asked for a while; may be empty.
+        InFlightCounter::Forecast forecast;
+        // Optional. An owner has timed out and is suspected for a while.
         std::function<void(VMId owner, UpstreamId, Microseconds waited)> unanswered {};
     };
 
-    LedgerExchange(FleetPeer self, Bounds bounds, Hooks hooks)
+    PermitExchange(FleetPeer self, Bounds bounds, Hooks hooks)
         : m_self(self)
         , m_bounds(bounds)
         , m_hooks(std::move(hooks))
-        , m_ledger(m_hooks.forecast)
-        , m_furtherAsks(bounds.furtherAsksAtOnce)
+        , m_inFlightCounter(m_hooks.forecast)
+        , m_extraRequests(bounds.extraRequestBurst)
     {
     }
 
-    // All other daemons that are registered, and who of all are relays: those tell others' loads
-    // and proofs, which takes most of what a daemon may send, and own upstreams only where a
-    // hall has nobody else.
+    // Sets the other registered daemons, and which daemons are relays. Relaying load data and proofs
+    // takes most of a daemon's send budget, so relays rank after all other daemons of their hall as
+    // owners.
     void setPeers(std::vector<FleetPeer>, std::vector<VMId> const& relays, Instant now);
 
-    // Asks the candidates' owners, in their order, until one has room. What is granted or
-    // chosen counts as in flight from then on. Calls back at once where all owners are this
-    // daemon.
+    // Requests permits from the candidates' owners in order until one is granted. The request counts
+    // as in flight at the chosen upstream from then on. Invokes the callback synchronously if this
+    // daemon owns all candidates that are tried.
     void choose(std::vector<Candidate> candidates, Callback callback, Instant now) { choose({ {}, std::move(candidates) }, std::move(callback), now); }
-    void choose(Wish, Callback, Instant now);
-    // A request has gone there without the owner's word.
-    void began(UpstreamId, HallId, Instant now);
-    // A request that was chosen for, or began, is over, or was not sent after all.
-    void ended(UpstreamId, Instant now);
+    void choose(CandidateList, Callback, Instant now);
+    // Counts a request that was sent without a permit.
+    void requestStarted(UpstreamId, HallId, Instant now);
+    // Removes a request that was counted by choose() or requestStarted(): it has finished, or was
+    // not sent.
+    void requestFinished(UpstreamId, Instant now);
 
     // Error: Malformed.
     Result<void> receive(VMId from, std::string_view bytes, Instant now);
     void tick(Instant now);
-    // When an answer that is waited for is overdue.
+    // The earliest deadline of the pending permit requests.
     std::optional<Instant> nextTimeout() const;
 
-    size_t unansweredAsks() const { return m_unansweredAsks; }
-    // Sends to cold upstreams that this daemon, as their owner, did not allow.
-    size_t exhaustedAsks() const { return m_exhaustedAsks; }
-    InFlightLedger const& ledger() const { return m_ledger; }
+    size_t unansweredRequests() const { return m_unansweredRequests; }
+    // Permit requests that this daemon denied as owner because the cold quota was used up.
+    size_t deniedColdRequests() const { return m_deniedColdRequests; }
+    InFlightCounter const& inFlightCounter() const { return m_inFlightCounter; }
 
 private:
-    // Requests in flight at one upstream.
-    struct Own {
+    // This daemon's requests in flight at one upstream.
+    struct LocalCount {
         size_t count { 0 };
         HallId hall;
-        // Who was told last, and when.
-        VMId toldTo;
-        Instant toldAt;
+        // The daemon that the count was last reported to, and when.
+        VMId reportedTo;
+        Instant reportedAt;
     };
     struct Pending {
         std::optional<uint64_t> context;
         std::vector<Candidate> candidates;
-        size_t index { 0 };
-        // Of the candidate's owners, how many have been asked.
-        size_t ownersAsked { 0 };
+        size_t candidateIndex { 0 };
+        // How many owners of the current candidate have been tried.
+        size_t ownersTried { 0 };
         VMId owner;
-        Instant askedAt;
-        Instant dueAt;
-        size_t asks { 0 };
-        // The one that holds least of those whose owners answered.
-        std::optional<size_t> least;
-        size_t leastCount { 0 };
-        bool isNewAtLeast { false };
-        // Whether that one has been asked once more, for what it may hold at most.
-        bool isLastAsk { false };
+        Instant sentAt;
+        Instant deadline;
+        size_t requests { 0 };
+        // The index of the least loaded candidate whose owner has responded.
+        std::optional<size_t> leastLoaded;
+        size_t leastLoadedCount { 0 };
+        bool isContextNewAtLeastLoaded { false };
+        // Whether the permit up to the hard limit has been requested.
+        bool isFinalRequest { false };
         std::vector<UpstreamId> exhausted;
         Callback callback;
     };
 
     std::optional<VMId> ownerOf(UpstreamId, HallId, Instant now) const;
-    OwnerStanding standingFor(UpstreamId, Instant now) const;
-    size_t ownersBefore(UpstreamId) const;
-    std::vector<std::pair<VMId, bool>> hallsOwners() const;
-    LedgerVerdict judge(VMId from, LedgerAsk const&, Instant now);
-    Microseconds patience() const;
-    size_t ownAt(UpstreamId) const;
-    size_t askedFor(UpstreamId) const;
-    void ask(uint64_t number, Instant now);
-    void takeAnswer(uint64_t number, LedgerVerdict const&, Instant now);
-    void goOn(uint64_t number, Instant now);
-    void conclude(uint64_t number, Instant now);
-    void askForMost(uint64_t number, Candidate, Instant now);
-    void finish(uint64_t number, Outcome const&);
-    void noteTimeout(uint64_t number, Instant now);
-    void takeLateAnswer(uint64_t number, VMId from, Instant now);
-    Own& count(UpstreamId, HallId, VMId owner, Instant now);
-    void report(UpstreamId, Own&, Instant now);
+    OwnerStatus ownerStatusFor(UpstreamId, Instant now) const;
+    size_t precedingOwnerCount(UpstreamId) const;
+    std::vector<std::pair<VMId, bool>> ownerCandidates() const;
+    PermitDecision decide(VMId from, PermitRequest const&, Instant now);
+    Microseconds responseTimeout() const;
+    size_t localInFlight(UpstreamId) const;
+    size_t pendingRequestsFor(UpstreamId) const;
+    void sendRequest(uint64_t requestId, Instant now);
+    void handleResponse(uint64_t requestId, PermitDecision const&, Instant now);
+    void tryNextCandidate(uint64_t requestId, Instant now);
+    void concludeWithoutPermit(uint64_t requestId, Instant now);
+    void requestUpToHardLimit(uint64_t requestId, Candidate, Instant now);
+    void complete(uint64_t requestId, Outcome const&);
+    void handleTimeout(uint64_t requestId, Instant now);
+    void handleLateResponse(uint64_t requestId, VMId from, Instant now);
+    LocalCount& addLocalRequest(UpstreamId, HallId, VMId owner, Instant now);
+    void sendReport(UpstreamId, LocalCount&, Instant now);
 
     FleetPeer m_self;
     Bounds m_bounds;
     Hooks m_hooks;
-    InFlightLedger m_ledger;
+    InFlightCounter m_inFlightCounter;
     std::vector<FleetPeer> m_peers;
     std::set<VMId> m_relays;
     std::map<VMId, Instant> m_suspectedUntil;
     WaitEstimate m_roundTrip;
     std::map<uint64_t, Pending> m_pending;
-    // Asks that were not answered in time, and may still be.
-    struct Overdue {
-        uint64_t number { 0 };
+    // Permit requests that have timed out but may still receive a response.
+    struct TimedOutRequest {
+        uint64_t requestId { 0 };
         VMId owner;
-        Instant askedAt;
+        Instant sentAt;
     };
-    std::deque<Overdue> m_overdue;
-    uint64_t m_lastNumber { 0 };
-    std::map<UpstreamId, Own> m_own;
-    TokenBucket m_furtherAsks;
-    Instant m_repeatedAt;
-    size_t m_unansweredAsks { 0 };
-    size_t m_exhaustedAsks { 0 };
-    // Who may own upstreams of this hall, and whether as a relay; and since when it is them.
-    std::vector<std::pair<VMId, bool>> m_hallsOwners;
+    std::deque<TimedOutRequest> m_timedOutRequests;
+    uint64_t m_lastRequestId { 0 };
+    std::map<UpstreamId, LocalCount> m_localCounts;
+    TokenBucket m_extraRequests;
+    Instant m_housekeepingAt;
+    size_t m_unansweredRequests { 0 };
+    size_t m_deniedColdRequests { 0 };
+    // The daemons of this hall with a flag for relays, and the time of the last change.
+    std::vector<std::pair<VMId, bool>> m_ownerCandidates;
     std::optional<Instant> m_startedAt;
     Instant m_ownersSince;
 };
--- a/Tests/LibRouting/TestPermitExchange.cpp
+++ b/Tests/LibRouting/TestPermitExchange.cpp
@@ -13,7 +13,7 @@
 Instant const start { Seconds(1000) };
 constexpr Microseconds step { 500 };
 constexpr Microseconds tickInterval { 5000 };
-constexpr Microseconds hold { 1000000 };
+constexpr Microseconds holdTime { 1000000 };
 constexpr UpstreamId upstream { 77 };
 constexpr UpstreamId other { 78 };
 constexpr HallId north { 1 };
@@ -23,7 +23,7 @@
     return start + Microseconds(static_cast<int64_t>(seconds * 1e6));
 }
 
-// Daemons whose messages take a step, but for those that are silent.
+// Simulated daemons whose messages take one step, except for those of unresponsive daemons.
 class Fleet {
 public:
     explicit Fleet(size_t size, double loss = 0)
@@ -38,16 +38,16 @@
 
     void start(size_t number)
     {
-        LedgerExchange::Hooks hooks;
+        PermitExchange::Hooks hooks;
         hooks.send = [this, number](VMId to, std::string const& bytes) { send(number, to, bytes); };
-        hooks.forecast = [this](UpstreamId) { return UpstreamForecast { forecast, hold, coldBound, isCold, hasRoomForCaution }; };
+        hooks.forecast = [this](UpstreamId) { return UpstreamForecast { forecast, holdTime, coldBound, isCold, canAlwaysEnforceColdBound }; };
         auto& daemon = m_daemons[VMId(number)];
-        daemon = std::make_unique<LedgerExchange>(m_peers[number - 1], LedgerExchange::Bounds {}, hooks);
+        daemon = std::make_unique<PermitExchange>(m_peers[number - 1], PermitExchange::Bounds {}, hooks);
         daemon->setPeers(m_peers, {}, now);
     }
 
-    // Another process takes the daemon's place, or the daemon is gone and known to be.
-    void remove(size_t number)
+    // Removes the daemon, and updates the peers of all others.
+    void removeDaemon(size_t number)
     {
         std::erase_if(m_peers, [number](auto const& peer) { return peer.id == VMId(number); });
         m_daemons.erase(VMId(number));
@@ -55,11 +55,11 @@
             each->setPeers(m_peers, {}, now);
     }
 
-    // That daemon alone does not know the other one any more.
-    void forget(size_t number, size_t forgotten)
+    // Removes a daemon from the peers of a single other one.
+    void removePeer(size_t number, size_t removed)
     {
         auto peers = m_peers;
-        std::erase_if(peers, [forgotten](auto const& peer) { return peer.id == VMId(forgotten); });
+        std::erase_if(peers, [removed](auto const& peer) { return peer.id == VMId(removed); });
         daemon(number).setPeers(peers, {}, now);
     }
 
@@ -76,26 +76,26 @@
             each->setPeers(m_peers, ids, now);
     }
 
-    LedgerExchange& daemon(size_t number) { return *m_daemons.at(VMId(number)); }
+    PermitExchange& daemon(size_t number) { return *m_daemons.at(VMId(number)); }
 
-    // What became of a request of that daemon, and how long it took to say so.
-    struct Answered {
-        LedgerExchange::Outcome outcome;
-        Microseconds after { 0 };
+    // The outcome of a choice, and how long it took.
+    struct TimedOutcome {
+        PermitExchange::Outcome outcome;
+        Microseconds elapsed { 0 };
     };
-    Answered choose(size_t number, size_t limit, std::vector<UpstreamId> const& candidates = { upstream })
+    TimedOutcome choose(size_t number, size_t limit, std::vector<UpstreamId> const& candidates = { upstream })
     {
-        std::vector<LedgerExchange::Candidate> list;
+        std::vector<PermitExchange::Candidate> list;
         list.reserve(candidates.size());
         for (auto const id : candidates)
-            list.push_back({ id, north, limit, {}, most });
-        std::optional<Answered> answered;
-        auto const asked = now;
+            list.push_back({ id, north, limit, {}, hardLimit });
+        std::optional<TimedOutcome> result;
+        auto const requestedAt = now;
         daemon(number).choose(
-            list, [&](auto const& outcome) { answered = Answered { outcome, now - asked }; }, now);
-        while (!answered)
+            list, [&](auto const& outcome) { result = TimedOutcome { outcome, now - requestedAt }; }, now);
+        while (!result)
             run(step);
-        return *answered;
+        return *result;
     }
 
     void run(Microseconds duration)
@@ -110,25 +110,25 @@
         }
     }
 
-    // The one that counts what is in flight there, if any does.
+    // Returns the daemon that counts the upstream's requests in flight, or 0 if there are none.
     size_t ownerOf(UpstreamId id) const
     {
         for (auto const& [daemon, each] : m_daemons) {
-            if (each->ledger().count(id))
+            if (each->inFlightCounter().count(id))
                 return daemon.value();
         }
         return 0;
     }
 
     Instant now { at(0) };
-    std::set<size_t> silent;
-    // Whose messages take longer than a step.
-    std::map<size_t, Microseconds> slow;
-    std::optional<size_t> most;
+    std::set<size_t> unresponsive;
+    // Additional delays of the messages of some daemons.
+    std::map<size_t, Microseconds> responseDelays;
+    std::optional<size_t> hardLimit;
     double forecast { 0 };
     ColdBound coldBound;
     bool isCold { false };
-    bool hasRoomForCaution { false };
+    bool canAlwaysEnforceColdBound { false };
 
 private:
     struct Message {
@@ -142,7 +142,7 @@
     {
         std::uniform_real_distribution<double> uniform(0, 1);
         if (uniform(m_random) >= m_loss)
-            m_messages.push_back({ from, to, std::move(bytes), now + (slow.contains(from) ? slow.at(from) : Microseconds(0)) });
+            m_messages.push_back({ from, to, std::move(bytes), now + (responseDelays.contains(from) ? responseDelays.at(from) : Microseconds(0)) });
     }
 
     void deliver()
@@ -153,7 +153,7 @@
                 m_messages.push_back(message);
                 continue;
             }
-            bool const isDelivered = !silent.contains(message.from) && !silent.contains(message.to.value()) && m_daemons.contains(message.to);
+            bool const isDelivered = !unresponsive.contains(message.from) && !unresponsive.contains(message.to.value()) && m_daemons.contains(message.to);
             if (isDelivered)
                 BOOST_REQUIRE(m_daemons.at(message.to)->receive(VMId(message.from), message.bytes, now));
         }
@@ -162,46 +162,46 @@
     double m_loss;
     std::mt19937_64 m_random { 1 };
     std::vector<FleetPeer> m_peers;
-    std::map<VMId, std::unique_ptr<LedgerExchange>> m_daemons;
+    std::map<VMId, std::unique_ptr<PermitExchange>> m_daemons;
     std::vector<Message> m_messages;
 };
 
 }
 
-BOOST_AUTO_TEST_SUITE(LedgerTests)
+BOOST_AUTO_TEST_SUITE(PermitExchangeTests)
 
-BOOST_AUTO_TEST_CASE(MessagesComeBackAsTheyWereWritten)
+BOOST_AUTO_TEST_CASE(MessagesRoundTrip)
 {
-    auto const ask = decodeLedgerMessage(encodeLedgerMessage(LedgerAsk { 7, upstream, 2, 9 }));
-    BOOST_REQUIRE(ask);
-    BOOST_TEST(std::get<LedgerAsk>(*ask).number == 7u);
-    BOOST_TEST((std::get<LedgerAsk>(*ask).upstream == upstream));
-    BOOST_TEST(std::get<LedgerAsk>(*ask).ownInFlight == 2u);
-    BOOST_TEST(std::get<LedgerAsk>(*ask).limit == 9u);
-    auto const answer = decodeLedgerMessage(encodeLedgerMessage(LedgerAnswer { 7, true, 4 }));
-    BOOST_REQUIRE(answer);
-    BOOST_TEST(std::get<LedgerAnswer>(*answer).isGranted);
-    BOOST_TEST(std::get<LedgerAnswer>(*answer).count == 4u);
-    auto const placed = decodeLedgerMessage(encodeLedgerMessage(LedgerAsk { 7, upstream, 2, 9, {}, 123 }));
+    auto const request = decodePermitMessage(encodePermitMessage(PermitRequest { 7, upstream, 2, 9 }));
+    BOOST_REQUIRE(request);
+    BOOST_TEST(std::get<PermitRequest>(*request).requestId == 7u);
+    BOOST_TEST((std::get<PermitRequest>(*request).upstream == upstream));
+    BOOST_TEST(std::get<PermitRequest>(*request).ownInFlight == 2u);
+    BOOST_TEST(std::get<PermitRequest>(*request).limit == 9u);
+    auto const response = decodePermitMessage(encodePermitMessage(PermitResponse { 7, true, 4 }));
+    BOOST_REQUIRE(response);
+    BOOST_TEST(std::get<PermitResponse>(*response).isGranted);
+    BOOST_TEST(std::get<PermitResponse>(*response).count == 4u);
+    auto const placed = decodePermitMessage(encodePermitMessage(PermitRequest { 7, upstream, 2, 9, {}, 123 }));
     BOOST_REQUIRE(placed);
-    BOOST_TEST((std::get<LedgerAsk>(*placed).context == 123u && !std::get<LedgerAsk>(*placed).cold));
-    auto const isNew = decodeLedgerMessage(encodeLedgerMessage(LedgerAnswer { 7, true, 4, false, true }));
+    BOOST_TEST((std::get<PermitRequest>(*placed).context == 123u && !std::get<PermitRequest>(*placed).cold));
+    auto const isNew = decodePermitMessage(encodePermitMessage(PermitResponse { 7, true, 4, false, true }));
     BOOST_REQUIRE(isNew);
-    BOOST_TEST((std::get<LedgerAnswer>(*isNew).isNewThere && !std::get<LedgerAnswer>(*isNew).isExhausted));
-    auto const report = decodeLedgerMessage(encodeLedgerMessage(LedgerReport { upstream, 3 }));
+    BOOST_TEST((std::get<PermitResponse>(*isNew).isContextNew && !std::get<PermitResponse>(*isNew).isExhausted));
+    auto const report = decodePermitMessage(encodePermitMessage(InFlightReport { upstream, 3 }));
     BOOST_REQUIRE(report);
-    BOOST_TEST(std::get<LedgerReport>(*report).ownInFlight == 3u);
-    BOOST_TEST(!decodeLedgerMessage("nothing of the kind"));
-    BOOST_TEST(!decodeLedgerMessage(encodeLedgerMessage(LedgerAsk {}) + "x"));
+    BOOST_TEST(std::get<InFlightReport>(*report).ownInFlight == 3u);
+    BOOST_TEST(!decodePermitMessage("nothing of the kind"));
+    BOOST_TEST(!decodePermitMessage(encodePermitMessage(PermitRequest {}) + "x"));
 }
 
-BOOST_AUTO_TEST_CASE(AnOwnerSaysWhichContextsAreNewToItsUpstream)
+BOOST_AUTO_TEST_CASE(AnOwnerReportsWhetherAContextIsNew)
 {
     Fleet fleet(6);
     auto const choose = [&](size_t daemon, uint64_t context) {
         bool isNew = false;
         fleet.daemon(daemon).choose(
-            { context, { { upstream, north, 9 } } }, [&](auto const& outcome) { isNew = outcome.isNewThere; }, fleet.now);
+            { context, { { upstream, north, 9 } } }, [&](auto const& outcome) { isNew = outcome.isContextNew; }, fleet.now);
         fleet.run(Milliseconds(20));
         return isNew;
     };
@@ -210,56 +210,57 @@
     BOOST_TEST(choose(4, 6));
 }
 
-BOOST_AUTO_TEST_CASE(AnUpstreamTakesAsManyAsTheLimitWhoeverAsks)
+BOOST_AUTO_TEST_CASE(PermitsAreLimitedAcrossAllDaemons)
 {
     Fleet fleet(20);
     for (size_t daemon = 1; daemon <= 6; ++daemon)
         BOOST_TEST(fleet.choose(daemon, 6).outcome.isGranted);
     BOOST_TEST(!fleet.choose(7, 6).outcome.isGranted);
-    // The owner, too, is held to it.
+    // The limit also applies to the owner itself.
     BOOST_TEST(!fleet.choose(fleet.ownerOf(upstream), 6).outcome.isGranted);
 }
 
-// Else some daemons would ask another one for seconds, and neither would have the whole count.
-BOOST_AUTO_TEST_CASE(AnOwnerWhoseAnswerComesLateIsAskedAgain)
+// If the owner stayed suspected, some daemons would use another one for seconds, and neither owner
+// would have a complete count.
+BOOST_AUTO_TEST_CASE(AnOwnerThatRespondsLateIsNoLongerSuspected)
 {
     Fleet fleet(6);
     fleet.run(Seconds(4));
     fleet.choose(2, 9);
     auto const owner = fleet.ownerOf(upstream);
-    fleet.daemon(2).ended(upstream, fleet.now);
+    fleet.daemon(2).requestFinished(upstream, fleet.now);
     fleet.run(Milliseconds(50));
-    // It answers when its patience is over.
-    fleet.slow[owner] = Milliseconds(40);
-    BOOST_TEST(fleet.choose(2, 9).outcome.asks == 2u);
+    // The response arrives after the timeout.
+    fleet.responseDelays[owner] = Milliseconds(40);
+    BOOST_TEST(fleet.choose(2, 9).outcome.requests == 2u);
     fleet.run(Milliseconds(100));
-    fleet.slow.clear();
-    BOOST_TEST(fleet.choose(2, 9).outcome.asks == 1u);
+    fleet.responseDelays.clear();
+    BOOST_TEST(fleet.choose(2, 9).outcome.requests == 1u);
     fleet.run(Milliseconds(50));
-    BOOST_TEST(fleet.daemon(owner).ledger().count(upstream) >= 1u);
+    BOOST_TEST(fleet.daemon(owner).inFlightCounter().count(upstream) >= 1u);
 }
 
-// What came to the first owner it does not know, so it goes by what all have told it as well.
-BOOST_AUTO_TEST_CASE(WhoIsAskedInAnOwnersPlaceGrantsNoMoreThanTheRestLeaves)
+// A stand-in does not have the counts of the first owner, so it uses the forecast as a lower bound.
+BOOST_AUTO_TEST_CASE(AStandInOwnerHonoursTheForecast)
 {
     Fleet fleet(6);
     fleet.run(Seconds(4));
     fleet.choose(2, 9);
-    fleet.silent.insert(fleet.ownerOf(upstream));
+    fleet.unresponsive.insert(fleet.ownerOf(upstream));
     fleet.forecast = 6;
-    // Long after its account began.
+    // The stand-in must honour the forecast even long after its first message about the upstream.
     fleet.choose(2, 9);
     fleet.run(Seconds(4));
     BOOST_TEST(!fleet.choose(2, 6).outcome.isGranted);
     BOOST_TEST(fleet.choose(2, 8).outcome.isGranted);
 }
 
-// Where all may hold only so many, what is left is granted by its owner and not taken.
-BOOST_AUTO_TEST_CASE(NothingGoesBeyondWhatUpstreamsMayHoldAtMost)
+// Below the hard limit, the remaining capacity needs a permit from the owner as well.
+BOOST_AUTO_TEST_CASE(TheHardLimitIsNeverExceeded)
 {
     Fleet fleet(6);
     fleet.run(Seconds(4));
-    fleet.most = 3;
+    fleet.hardLimit = 3;
     size_t granted = 0;
     for (size_t number = 0; number < 12; ++number) {
         auto const outcome = fleet.choose(1 + number % 6, 2, { upstream, other }).outcome;
@@ -269,35 +270,35 @@
     BOOST_TEST(granted == 6u);
 }
 
-BOOST_AUTO_TEST_CASE(RelaysOwnOnlyWhereThereIsNobodyElse)
+BOOST_AUTO_TEST_CASE(RelaysOwnUpstreamsOnlyIfTheHallHasOnlyRelays)
 {
     Fleet fleet(6);
     fleet.choose(2, 9);
     auto const owner = fleet.ownerOf(upstream);
-    fleet.daemon(2).ended(upstream, fleet.now);
+    fleet.daemon(2).requestFinished(upstream, fleet.now);
     fleet.makeRelays({ owner });
     fleet.choose(2, 9);
     auto const next = fleet.ownerOf(upstream);
     BOOST_TEST(next != owner);
-    fleet.daemon(2).ended(upstream, fleet.now);
+    fleet.daemon(2).requestFinished(upstream, fleet.now);
     fleet.makeRelays({ 1, 3, 5 });
     fleet.choose(2, 9);
     BOOST_TEST(fleet.ownerOf(upstream) == owner);
 }
 
-BOOST_AUTO_TEST_CASE(WhatHasEndedMakesRoom)
+BOOST_AUTO_TEST_CASE(FinishedRequestsReleaseTheirPermits)
 {
     Fleet fleet(20);
     BOOST_TEST(fleet.choose(1, 1).outcome.isGranted);
     BOOST_TEST(!fleet.choose(2, 1, { upstream }).outcome.isGranted);
-    fleet.daemon(2).ended(upstream, fleet.now);
-    fleet.daemon(1).ended(upstream, fleet.now);
+    fleet.daemon(2).requestFinished(upstream, fleet.now);
+    fleet.daemon(1).requestFinished(upstream, fleet.now);
     fleet.run(Milliseconds(5));
     BOOST_TEST(fleet.choose(3, 1).outcome.isGranted);
 }
 
-// Of two that ask at once, one gets the last place.
-BOOST_AUTO_TEST_CASE(TheLastPlaceIsGivenOnce)
+// Four concurrent requests compete for two permits.
+BOOST_AUTO_TEST_CASE(TheLastPermitIsGrantedOnce)
 {
     Fleet fleet(20);
     size_t granted = 0;
@@ -308,17 +309,17 @@
     BOOST_TEST(granted == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(TheNextOfTheOrderTakesWhatTheFirstHasNoRoomFor)
+BOOST_AUTO_TEST_CASE(TheNextCandidateIsTriedIfTheFirstIsAtItsLimit)
 {
     Fleet fleet(20);
     BOOST_TEST(fleet.choose(1, 1).outcome.isGranted);
     auto const next = fleet.choose(2, 1, { upstream, other });
     BOOST_TEST((next.outcome.upstream == other));
     BOOST_TEST(next.outcome.isGranted);
-    BOOST_TEST(next.outcome.asks == 2u);
+    BOOST_TEST(next.outcome.requests == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(WhereNoneHasRoomTheLeastLoadedTakesIt)
+BOOST_AUTO_TEST_CASE(TheLeastLoadedCandidateIsChosenIfAllAreAtTheirLimits)
 {
     Fleet fleet(20);
     for (int request = 0; request < 3; ++request)
@@ -328,73 +329,72 @@
     BOOST_TEST((chosen.outcome.upstream == other));
     BOOST_TEST(!chosen.outcome.isGranted);
     fleet.run(Milliseconds(5));
-    // It counts all the same.
+    // The request counts as in flight although it has no permit.
     BOOST_TEST(!fleet.choose(3, 2, { other }).outcome.isGranted);
 }
 
-// A request waits for an owner that is gone for some 25 ms at the most, and for the one
-// after it no longer than that.
-BOOST_AUTO_TEST_CASE(AnOwnerThatIsGoneCostsAFewMilliseconds)
+// A request waits at most 25 ms for an owner that does not respond, and as long for the next one.
+BOOST_AUTO_TEST_CASE(AnUnresponsiveOwnerDelaysARequestByAFewMilliseconds)
 {
     Fleet fleet(20);
     fleet.choose(2, 9);
     auto const owner = fleet.ownerOf(upstream);
-    fleet.silent.insert(owner);
-    auto const asker = owner == 4 ? size_t { 6 } : size_t { 4 };
-    auto const first = fleet.choose(asker, 9);
+    fleet.unresponsive.insert(owner);
+    auto const requester = owner == 4 ? size_t { 6 } : size_t { 4 };
+    auto const first = fleet.choose(requester, 9);
     BOOST_TEST(first.outcome.isGranted);
-    BOOST_TEST((first.after <= Milliseconds(30)));
-    // From then on the next owner is asked at once.
-    auto const second = fleet.choose(asker, 9);
+    BOOST_TEST((first.elapsed <= Milliseconds(30)));
+    // Later requests go to the next owner immediately.
+    auto const second = fleet.choose(requester, 9);
     BOOST_TEST(second.outcome.isGranted);
-    BOOST_TEST((second.after <= Milliseconds(2)));
+    BOOST_TEST((second.elapsed <= Milliseconds(2)));
 }
 
-BOOST_AUTO_TEST_CASE(WhereNoOwnerAnswersTheRequestGoesWithout)
+BOOST_AUTO_TEST_CASE(NoUpstreamIsChosenIfNoOwnerResponds)
 {
     Fleet fleet(8);
-    fleet.silent = { 1, 3, 5, 7 };
-    auto const answered = fleet.choose(2, 9);
-    BOOST_TEST(!answered.outcome.upstream.has_value());
-    BOOST_TEST((answered.after <= Milliseconds(60)));
+    fleet.unresponsive = { 1, 3, 5, 7 };
+    auto const result = fleet.choose(2, 9);
+    BOOST_TEST(!result.outcome.upstream.has_value());
+    BOOST_TEST((result.elapsed <= Milliseconds(60)));
 }
 
-// An owner that has just become one knows of none that are in flight already.
-BOOST_AUTO_TEST_CASE(ANewOwnerGoesByTheForecastUntilItKnows)
+// A new owner has no counts of the requests that are already in flight.
+BOOST_AUTO_TEST_CASE(ANewOwnerHonoursTheForecastAtFirst)
 {
     Fleet fleet(20);
     fleet.forecast = 8;
     BOOST_TEST(!fleet.choose(2, 8).outcome.isGranted);
-    fleet.daemon(2).ended(upstream, fleet.now);
+    fleet.daemon(2).requestFinished(upstream, fleet.now);
     fleet.run(Milliseconds(2500));
     BOOST_TEST(fleet.choose(2, 8).outcome.isGranted);
 }
 
-BOOST_AUTO_TEST_CASE(WhatADaemonThatDiedHadInFlightIsForgotten)
+BOOST_AUTO_TEST_CASE(TheCountOfADeadDaemonExpires)
 {
     Fleet fleet(20);
     for (size_t request = 0; request < 4; ++request)
         fleet.choose(2, 9);
     auto const owner = fleet.ownerOf(upstream);
-    fleet.silent.insert(2);
+    fleet.unresponsive.insert(2);
     fleet.run(Seconds(3));
-    BOOST_TEST(fleet.daemon(owner).ledger().count(upstream) == 4u);
+    BOOST_TEST(fleet.daemon(owner).inFlightCounter().count(upstream) == 4u);
     fleet.run(Seconds(5));
-    BOOST_TEST(fleet.daemon(owner).ledger().count(upstream) == 0u);
+    BOOST_TEST(fleet.daemon(owner).inFlightCounter().count(upstream) == 0u);
 }
 
-// What runs for long is said again before it is forgotten.
-BOOST_AUTO_TEST_CASE(WhatRunsForLongStaysCounted)
+// Counts are reported again before they expire.
+BOOST_AUTO_TEST_CASE(LongRunningRequestsStayCounted)
 {
     Fleet fleet(20);
     fleet.choose(2, 9);
     auto const owner = fleet.ownerOf(upstream);
     fleet.run(Seconds(40));
-    BOOST_TEST(fleet.daemon(owner).ledger().count(upstream) == 1u);
+    BOOST_TEST(fleet.daemon(owner).inFlightCounter().count(upstream) == 1u);
 }
 
-// Each message says all that its sender has there, so one that was lost is made good.
-BOOST_AUTO_TEST_CASE(LostMessagesLeaveNothingBehind)
+// Each message contains the sender's total count, so a lost message is corrected by the next one.
+BOOST_AUTO_TEST_CASE(CountsRecoverFromLostMessages)
 {
     Fleet fleet(20, 0.1);
     std::vector<std::pair<size_t, UpstreamId>> running;
@@ -405,29 +405,30 @@
             running.emplace_back(daemon, *chosen);
         if (running.size() < 10)
             continue;
-        fleet.daemon(running.front().first).ended(running.front().second, fleet.now);
+        fleet.daemon(running.front().first).requestFinished(running.front().second, fleet.now);
         running.erase(running.begin());
     }
     for (auto const& [daemon, id] : running)
-        fleet.daemon(daemon).ended(id, fleet.now);
+        fleet.daemon(daemon).requestFinished(id, fleet.now);
     fleet.run(Seconds(8));
     BOOST_TEST(fleet.ownerOf(upstream) == 0u);
 }
 
 namespace {
 
-// What the users' sheet says of one deployment.
-ColdBound const someBound { 8.9, 1.5, 5, Seconds(3) };
-// How long a request takes at the most from its grant to its upstream.
-constexpr Microseconds longestWay { 250000 };
+// The cold bound of one of the users' deployments.
+ColdBound const exampleColdBound { 8.9, 1.5, 5, Seconds(3) };
+// The maximum time from the grant of a permit to the arrival of the request at the upstream.
+constexpr Microseconds maxTransitTime { 250000 };
 
-// Sends that a cold upstream saw, with the way that each took.
-class ColdUpstream {
+// Generates load on a cold upstream, and records when each request arrives there.
+class ColdUpstreamTraffic {
 public:
-    // These daemons ask, each once in so long, and what is granted arrives.
-    void ask(Fleet& fleet, std::vector<size_t> const& daemons, Microseconds duration, std::vector<UpstreamId> const& upstreams = { upstream }, Microseconds pause = Milliseconds(25))
+    // Each of the daemons requests a permit once per pause; requests with a permit arrive after a
+    // random transit time.
+    void sendRequests(Fleet& fleet, std::vector<size_t> const& daemons, Microseconds duration, std::vector<UpstreamId> const& upstreams = { upstream }, Microseconds pause = Milliseconds(25))
     {
-        std::vector<LedgerExchange::Candidate> candidates;
+        std::vector<PermitExchange::Candidate> candidates;
         candidates.reserve(upstreams.size());
         for (auto const id : upstreams)
             candidates.push_back({ id, north, 1000 });
@@ -437,10 +438,10 @@
                     candidates, [&](auto const& outcome) {
                         if (!outcome.upstream)
                             return;
-                        fleet.daemon(daemon).ended(*outcome.upstream, fleet.now);
+                        fleet.daemon(daemon).requestFinished(*outcome.upstream, fleet.now);
                         if (*outcome.upstream != upstream)
                             return;
-                        m_arrivals.push_back(fleet.now + Microseconds(static_cast<int64_t>(m_random() % static_cast<uint64_t>(longestWay.count()))));
+                        m_arrivals.push_back(fleet.now + Microseconds(static_cast<int64_t>(m_random() % static_cast<uint64_t>(maxTransitTime.count()))));
                     },
                     fleet.now);
             }
@@ -448,16 +449,16 @@
         }
     }
 
-    size_t mostInASecond()
+    size_t maxPerSecond()
     {
         std::sort(m_arrivals.begin(), m_arrivals.end());
-        size_t most = 0;
+        size_t maximum = 0;
         for (size_t first = 0, last = 0; last < m_arrivals.size(); ++last) {
             while (m_arrivals[last] - m_arrivals[first] >= Seconds(1))
                 ++first;
-            most = std::max(most, last - first + 1);
+            maximum = std::max(maximum, last - first + 1);
         }
-        return most;
+        return maximum;
     }
 
     size_t arrivals() const { return m_arrivals.size(); }
@@ -467,7 +468,7 @@
     std::vector<Instant> m_arrivals;
 };
 
-std::vector<size_t> numbers(size_t first, size_t last)
+std::vector<size_t> daemonRange(size_t first, size_t last)
 {
     std::vector<size_t> result;
     for (size_t number = first; number <= last; ++number)
@@ -475,21 +476,21 @@
     return result;
 }
 
-Fleet fleetBeforeAColdUpstream(size_t size, double loss = 0)
+Fleet fleetWithColdUpstream(size_t size, double loss = 0)
 {
     Fleet fleet(size, loss);
-    fleet.coldBound = someBound;
+    fleet.coldBound = exampleColdBound;
     fleet.isCold = true;
     return fleet;
 }
 
 }
 
-BOOST_AUTO_TEST_CASE(WhatDaemonsAllowAColdUpstreamFitsIntoItsBound)
+BOOST_AUTO_TEST_CASE(ColdQuotasAddUpToAtMostTheColdBound)
 {
-    BOOST_TEST(someBound.most() == 18u);
-    BOOST_TEST(someBound.forOwner() + 3 * someBound.forNextOwner() <= someBound.most());
-    BOOST_TEST(someBound.forNextOwner() > 0u);
+    BOOST_TEST(exampleColdBound.most() == 18u);
+    BOOST_TEST(exampleColdBound.forOwner() + 3 * exampleColdBound.forNextOwner() <= exampleColdBound.most());
+    BOOST_TEST(exampleColdBound.forNextOwner() > 0u);
     for (double perSecond : { 0.2, 1.0, 3.7, 50.0 }) {
         for (double slack : { 0.0, 1.0, 40.0 }) {
             ColdBound const bound { perSecond, 1, slack, Seconds(1) };
@@ -499,136 +500,137 @@
     }
 }
 
-// Seventy daemons that all want a cold upstream send it what it can handle, in any second.
-BOOST_AUTO_TEST_CASE(AColdUpstreamGetsWhatItCanHandleWhoeverAsks)
+// With 70 competing daemons, the upstream receives at most its bound in any second, and at
+// least 90 % of the rate that it handles.
+BOOST_AUTO_TEST_CASE(AColdUpstreamStaysWithinItsBoundUnderLoad)
 {
-    auto fleet = fleetBeforeAColdUpstream(70);
+    auto fleet = fleetWithColdUpstream(70);
     fleet.run(Seconds(4));
-    ColdUpstream cold;
-    cold.ask(fleet, numbers(1, 70), Seconds(8));
-    BOOST_TEST_MESSAGE("most in a second " << cold.mostInASecond() << " of " << someBound.most() << ", " << cold.arrivals() << " in eight seconds");
-    BOOST_TEST(cold.mostInASecond() <= someBound.most());
-    BOOST_TEST(static_cast<double>(cold.arrivals()) >= 8 * 0.9 * someBound.perSecond);
+    ColdUpstreamTraffic cold;
+    cold.sendRequests(fleet, daemonRange(1, 70), Seconds(8));
+    BOOST_TEST_MESSAGE("maximum per second " << cold.maxPerSecond() << " of " << exampleColdBound.most() << ", " << cold.arrivals() << " in eight seconds");
+    BOOST_TEST(cold.maxPerSecond() <= exampleColdBound.most());
+    BOOST_TEST(static_cast<double>(cold.arrivals()) >= 8 * 0.9 * exampleColdBound.perSecond);
 }
 
-// What was granted before it became cold counts as well.
-BOOST_AUTO_TEST_CASE(AnUpstreamThatBecomesColdAmidARushKeepsItsBound)
+// Permits that were granted before the upstream became cold count against the bound.
+BOOST_AUTO_TEST_CASE(AnUpstreamThatBecomesColdUnderLoadStaysWithinItsBound)
 {
-    auto fleet = fleetBeforeAColdUpstream(70);
+    auto fleet = fleetWithColdUpstream(70);
     fleet.isCold = false;
-    fleet.hasRoomForCaution = true;
+    fleet.canAlwaysEnforceColdBound = true;
     fleet.run(Seconds(4));
-    ColdUpstream cold;
-    // Fewer than the three upstreams together can take, all of them for the first of them.
-    cold.ask(fleet, numbers(1, 8), Seconds(3), { upstream, other, UpstreamId(79) }, Milliseconds(250));
+    ColdUpstreamTraffic cold;
+    // Less load than the three upstreams can handle together, all of it for the first one.
+    cold.sendRequests(fleet, daemonRange(1, 8), Seconds(3), { upstream, other, UpstreamId(79) }, Milliseconds(250));
     fleet.isCold = true;
-    cold.ask(fleet, numbers(1, 70), Seconds(3));
-    BOOST_TEST(cold.mostInASecond() <= someBound.most());
+    cold.sendRequests(fleet, daemonRange(1, 70), Seconds(3));
+    BOOST_TEST(cold.maxPerSecond() <= exampleColdBound.most());
 }
 
-BOOST_AUTO_TEST_CASE(AColdUpstreamKeepsItsBoundWhereOwnersAreSilentAndChange)
+BOOST_AUTO_TEST_CASE(AColdUpstreamStaysWithinItsBoundWhenItsOwnerFails)
 {
     for (size_t lossPercent : { 0, 5, 20 }) {
-        auto fleet = fleetBeforeAColdUpstream(40, static_cast<double>(lossPercent) / 100);
+        auto fleet = fleetWithColdUpstream(40, static_cast<double>(lossPercent) / 100);
         fleet.run(Seconds(4));
         fleet.choose(2, 1000);
         auto const owner = fleet.ownerOf(upstream);
-        fleet.daemon(2).ended(upstream, fleet.now);
-        auto others = numbers(1, 40);
+        fleet.daemon(2).requestFinished(upstream, fleet.now);
+        auto others = daemonRange(1, 40);
         std::erase(others, owner);
-        ColdUpstream cold;
-        cold.ask(fleet, others, Seconds(2));
-        fleet.silent.insert(owner);
-        cold.ask(fleet, others, Seconds(2));
-        fleet.remove(owner);
-        cold.ask(fleet, others, Seconds(6));
-        BOOST_TEST_MESSAGE(lossPercent << " in 100 lost: most in a second " << cold.mostInASecond() << ", " << cold.arrivals() << " in ten seconds");
-        BOOST_TEST(cold.mostInASecond() <= someBound.most());
+        ColdUpstreamTraffic cold;
+        cold.sendRequests(fleet, others, Seconds(2));
+        fleet.unresponsive.insert(owner);
+        cold.sendRequests(fleet, others, Seconds(2));
+        fleet.removeDaemon(owner);
+        cold.sendRequests(fleet, others, Seconds(6));
+        BOOST_TEST_MESSAGE(lossPercent << " % lost: maximum per second " << cold.maxPerSecond() << ", " << cold.arrivals() << " in ten seconds");
+        BOOST_TEST(cold.maxPerSecond() <= exampleColdBound.most());
         BOOST_TEST(cold.arrivals() > 20u);
     }
 }
 
-// Half of the daemons do not know the owner any more, and ask another one.
-BOOST_AUTO_TEST_CASE(AColdUpstreamKeepsItsBoundWhileTwoTakeThemselvesForItsOwner)
+// Half of the daemons do not know the owner, and use another one.
+BOOST_AUTO_TEST_CASE(AColdUpstreamStaysWithinItsBoundWithTwoOwners)
 {
-    auto fleet = fleetBeforeAColdUpstream(40);
+    auto fleet = fleetWithColdUpstream(40);
     fleet.run(Seconds(4));
     fleet.choose(2, 1000);
     auto const owner = fleet.ownerOf(upstream);
-    fleet.daemon(2).ended(upstream, fleet.now);
+    fleet.daemon(2).requestFinished(upstream, fleet.now);
     for (size_t number = 1; number <= 40; number += 2) {
         if (number != owner)
-            fleet.forget(number, owner);
+            fleet.removePeer(number, owner);
     }
-    auto others = numbers(1, 40);
+    auto others = daemonRange(1, 40);
     std::erase(others, owner);
-    ColdUpstream cold;
-    // As long as daemons' views may differ.
-    cold.ask(fleet, others, Milliseconds(2900));
-    BOOST_TEST(cold.mostInASecond() <= someBound.most());
+    ColdUpstreamTraffic cold;
+    // Just below ownershipSettleTime, for which the daemons' views may differ.
+    cold.sendRequests(fleet, others, Milliseconds(2900));
+    BOOST_TEST(cold.maxPerSecond() <= exampleColdBound.most());
 }
 
-// One that is cold and has its part takes nothing for being the least loaded.
-BOOST_AUTO_TEST_CASE(AnExhaustedUpstreamIsNotTheLeastLoaded)
+// A cold upstream whose quota is used up must not be chosen without a permit either.
+BOOST_AUTO_TEST_CASE(AnExhaustedUpstreamIsNeverChosenAsLeastLoaded)
 {
-    auto fleet = fleetBeforeAColdUpstream(20);
+    auto fleet = fleetWithColdUpstream(20);
     fleet.run(Seconds(4));
     size_t granted = 0;
     while (granted < 100 && fleet.choose(2, 1000).outcome.isGranted)
         ++granted;
-    BOOST_TEST(granted == someBound.forOwner());
+    BOOST_TEST(granted == exampleColdBound.forOwner());
     BOOST_TEST(!fleet.choose(2, 1000).outcome.upstream.has_value());
 }
 
-// The owner has not heard that the upstream is cold, or of the upstream at all.
-BOOST_AUTO_TEST_CASE(AnOwnerGoesByWhatAnAskerKnows)
+// The owner does not know that the upstream is cold, or does not know the upstream at all.
+BOOST_AUTO_TEST_CASE(AnOwnerAppliesTheColdNoticeOfARequest)
 {
     Fleet fleet(20);
     fleet.run(Seconds(4));
-    ColdNotice const notice { someBound, Seconds(2) };
+    ColdNotice const notice { exampleColdBound, Seconds(2) };
     size_t granted = 0;
-    for (size_t ask = 0; ask < 40; ++ask) {
-        fleet.daemon(1 + ask % 20).choose(
+    for (size_t request = 0; request < 40; ++request) {
+        fleet.daemon(1 + request % 20).choose(
             { { upstream, north, 1000, notice } }, [&](auto const& outcome) { granted += outcome.upstream ? 1 : 0; }, fleet.now);
         fleet.run(Milliseconds(5));
     }
-    BOOST_TEST(granted == someBound.forOwner());
+    BOOST_TEST(granted == exampleColdBound.forOwner());
     fleet.run(Seconds(3));
     BOOST_TEST(fleet.choose(3, 1000).outcome.isGranted);
 }
 
-BOOST_AUTO_TEST_CASE(AnAskTellsHowColdAnUpstreamIs)
+BOOST_AUTO_TEST_CASE(APermitRequestContainsTheColdNotice)
 {
-    LedgerAsk const ask { 7, upstream, 2, 9, ColdNotice { someBound, Milliseconds(1500) } };
-    auto const read = decodeLedgerMessage(encodeLedgerMessage(ask));
+    PermitRequest const request { 7, upstream, 2, 9, ColdNotice { exampleColdBound, Milliseconds(1500) } };
+    auto const read = decodePermitMessage(encodePermitMessage(request));
     BOOST_REQUIRE(read);
-    auto const& cold = std::get<LedgerAsk>(*read).cold;
+    auto const& cold = std::get<PermitRequest>(*read).cold;
     BOOST_REQUIRE(cold.has_value());
-    BOOST_TEST(cold->bound.most() == someBound.most());
-    BOOST_TEST(cold->bound.forOwner() == someBound.forOwner());
+    BOOST_TEST(cold->bound.most() == exampleColdBound.most());
+    BOOST_TEST(cold->bound.forOwner() == exampleColdBound.forOwner());
     BOOST_TEST((cold->left == Milliseconds(1500)));
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerTellsThatAnUpstreamIsExhausted)
+BOOST_AUTO_TEST_CASE(AResponseContainsWhetherAnUpstreamIsExhausted)
 {
-    auto const answer = decodeLedgerMessage(encodeLedgerMessage(LedgerAnswer { 7, false, 4, true }));
-    BOOST_REQUIRE(answer);
-    BOOST_TEST(std::get<LedgerAnswer>(*answer).isExhausted);
-    BOOST_TEST(!std::get<LedgerAnswer>(*decodeLedgerMessage(encodeLedgerMessage(LedgerAnswer { 7, false, 4 }))).isExhausted);
+    auto const response = decodePermitMessage(encodePermitMessage(PermitResponse { 7, false, 4, true }));
+    BOOST_REQUIRE(response);
+    BOOST_TEST(std::get<PermitResponse>(*response).isExhausted);
+    BOOST_TEST(!std::get<PermitResponse>(*decodePermitMessage(encodePermitMessage(PermitResponse { 7, false, 4 }))).isExhausted);
 }
 
-// 330 daemons with 14.5 requests a second each, which is the aim's size: the bytes that
-// all of them send for it, with the seal, UDP and IP.
-BOOST_AUTO_TEST_CASE(ARequestCostsAFewHundredBytes)
+// The target size is 330 daemons with 14.5 requests per second each. The byte count includes the
+// overhead of the seal, UDP and IP.
+BOOST_AUTO_TEST_CASE(PermitMessagesStayWithinTheSendBudget)
 {
     constexpr double headerBytes = 53;
     constexpr double requestsPerSecond = 14.5;
     constexpr double allowedBytesPerSecond = 3000;
-    auto const ask = encodeLedgerMessage(LedgerAsk { 1u << 20, UpstreamId::fromName("i-1"), 3, 30 });
-    auto const answer = encodeLedgerMessage(LedgerAnswer { 1u << 20, true, 20 });
-    auto const report = encodeLedgerMessage(LedgerReport { UpstreamId::fromName("i-1"), 3 });
-    auto const bytes = 3 * headerBytes + static_cast<double>(ask.size() + answer.size() + report.size());
-    BOOST_TEST_MESSAGE("bytes a request: " << bytes << ", bytes a second of a daemon: " << bytes * requestsPerSecond);
+    auto const request = encodePermitMessage(PermitRequest { 1u << 20, UpstreamId::fromName("i-1"), 3, 30 });
+    auto const response = encodePermitMessage(PermitResponse { 1u << 20, true, 20 });
+    auto const report = encodePermitMessage(InFlightReport { UpstreamId::fromName("i-1"), 3 });
+    auto const bytes = 3 * headerBytes + static_cast<double>(request.size() + response.size() + report.size());
+    BOOST_TEST_MESSAGE("bytes per request: " << bytes << ", bytes per second of a daemon: " << bytes * requestsPerSecond);
     BOOST_TEST(bytes * requestsPerSecond < allowedBytesPerSecond);
 }
 
