--- /dev/null
+++ b/Libraries/LibRouting/PermitExchange.cpp
@@ -0,0 +1,342 @@
+#include <LibRouting/PermitExchange.h>
+
+#include <LibBase/Hash.h>
+#include <algorithm>
+
+namespace Stagepost {
+
+namespace {
+
+    // Responses to older requests say nothing about the present state of an owner.
+    constexpr size_t maxTimedOutRequests = 64;
+
+}
+
+void PermitExchange::setPeers(std::vector<FleetPeer> peers, std::vector<VMId> const& relays, Instant now)
+{
+    m_relays = std::set(relays.begin(), relays.end());
+    m_peers = std::move(peers);
+    std::erase_if(m_peers, [this](auto const& peer) { return peer.id == m_self.id; });
+    std::erase_if(m_suspectedUntil, [this](auto const& suspected) {
+        return std::none_of(m_peers.begin(), m_peers.end(), [&](auto const& peer) { return peer.id == suspected.first; });
+    });
+    auto owners = ownerCandidates();
+    if (!m_startedAt)
+        m_startedAt = now;
+    if (owners == m_ownerCandidates)
+        return;
+    m_ownerCandidates = std::move(owners);
+    m_ownersSince = now;
+}
+
+std::vector<std::pair<VMId, bool>> PermitExchange::ownerCandidates() const
+{
+    std::vector<std::pair<VMId, bool>> owners { { m_self.id, m_relays.contains(m_self.id) } };
+    for (auto const& peer : m_peers) {
+        if (peer.hall == m_self.hall)
+            owners.emplace_back(peer.id, m_relays.contains(peer.id));
+    }
+    std::sort(owners.begin(), owners.end());
+    return owners;
+}
+
+// Returns how many daemons of this hall precede this one in the upstream's rendezvous order.
+size_t PermitExchange::precedingOwnerCount(UpstreamId upstream) const
+{
+    auto const rankOf = [&](std::pair<VMId, bool> const& owner) { return std::pair(!owner.second, mixHashes(upstream.value(), owner.first.value())); };
+    auto const self = rankOf({ m_self.id, m_relays.contains(m_self.id) });
+    return static_cast<size_t>(std::count_if(m_ownerCandidates.begin(), m_ownerCandidates.end(), [&](auto const& owner) { return rankOf(owner) > self; }));
+}
+
+// While the hall's daemons change, the others may disagree on the owner. A daemon that has just
+// started may not know of any other.
+OwnerStatus PermitExchange::ownerStatusFor(UpstreamId upstream, Instant now) const
+{
+    auto const precedingCount = precedingOwnerCount(upstream);
+    bool const isFirstChoice = precedingCount == 0;
+    if (!m_startedAt || now - *m_startedAt < m_bounds.ownershipSettleTime || precedingCount > 1)
+        return { OwnerRank::Other, isFirstChoice };
+    bool const isSettled = now - m_ownersSince >= m_bounds.ownershipSettleTime;
+    return { isFirstChoice && isSettled ? OwnerRank::Primary : OwnerRank::Secondary, isFirstChoice };
+}
+
+PermitDecision PermitExchange::decide(VMId from, PermitRequest const& request, Instant now)
+{
+    auto const decision = m_inFlightCounter.requestPermit(from, request, ownerStatusFor(request.upstream, now), now);
+    m_deniedColdRequests += decision.isExhausted ? 1 : 0;
+    return decision;
+}
+
+// Returns the first daemon in the rendezvous order of the upstream's hall that is not suspected. An
+// owner in the same hall is partitioned from the fleet only together with its upstream.
+std::optional<VMId> PermitExchange::ownerOf(UpstreamId upstream, HallId hall, Instant now) const
+{
+    std::optional<VMId> owner;
+    std::pair<bool, uint64_t> highest;
+    auto const offer = [&](FleetPeer const& peer) {
+        if (peer.hall != hall)
+            return;
+        auto const suspected = m_suspectedUntil.find(peer.id);
+        if (suspected != m_suspectedUntil.end() && now < suspected->second)
+            return;
+        std::pair const rank { !m_relays.contains(peer.id), mixHashes(upstream.value(), peer.id.value()) };
+        if (owner && rank <= highest)
+            return;
+        owner = peer.id;
+        highest = rank;
+    };
+    offer(m_self);
+    for (auto const& peer : m_peers)
+        offer(peer);
+    return owner;
+}
+
+Microseconds PermitExchange::responseTimeout() const
+{
+    auto const bound = m_roundTrip.bound();
+    return bound == Microseconds(0) ? m_bounds.maxResponseTimeout : std::clamp(bound, m_bounds.minResponseTimeout, m_bounds.maxResponseTimeout);
+}
+
+size_t PermitExchange::localInFlight(UpstreamId upstream) const
+{
+    auto const found = m_localCounts.find(upstream);
+    return found == m_localCounts.end() ? 0 : found->second.count;
+}
+
+// Each pending permit request may be granted and counts as one request.
+size_t PermitExchange::pendingRequestsFor(UpstreamId upstream) const
+{
+    return static_cast<size_t>(std::count_if(m_pending.begin(), m_pending.end(), [&](auto const& entry) {
+        auto const& pending = entry.second;
+        return pending.candidateIndex < pending.candidates.size() && pending.candidates[pending.candidateIndex].upstream == upstream;
+    }));
+}
+
+void PermitExchange::choose(CandidateList candidates, Callback callback, Instant now)
+{
+    auto const requestId = ++m_lastRequestId;
+    Pending pending;
+    pending.context = candidates.context;
+    pending.candidates = std::move(candidates.candidates);
+    pending.callback = std::move(callback);
+    m_pending.emplace(requestId, std::move(pending));
+    sendRequest(requestId, now);
+}
+
+void PermitExchange::sendRequest(uint64_t requestId, Instant now)
+{
+    auto& pending = m_pending.at(requestId);
+    if (pending.candidateIndex >= pending.candidates.size())
+        return concludeWithoutPermit(requestId, now);
+    auto const& candidate = pending.candidates[pending.candidateIndex];
+    auto const owner = pending.ownersTried < m_bounds.maxOwnersPerUpstream ? ownerOf(candidate.upstream, candidate.hall, now) : std::nullopt;
+    if (!owner)
+        return concludeWithoutPermit(requestId, now);
+    pending.owner = *owner;
+    pending.sentAt = now;
+    pending.deadline = now + responseTimeout();
+    ++pending.requests;
+    ++pending.ownersTried;
+    auto const local = localInFlight(candidate.upstream) + pendingRequestsFor(candidate.upstream) - 1;
+    PermitRequest const request { requestId, candidate.upstream, local, candidate.limit, candidate.cold, pending.context };
+    if (*owner == m_self.id)
+        return handleResponse(requestId, decide(m_self.id, request, now), now);
+    m_hooks.send(*owner, encodePermitMessage(request));
+}
+
+void PermitExchange::handleResponse(uint64_t requestId, PermitDecision const& decision, Instant now)
+{
+    auto& pending = m_pending.at(requestId);
+    auto const candidate = pending.candidates[pending.candidateIndex];
+    if (decision.isGranted) {
+        addLocalRequest(candidate.upstream, candidate.hall, pending.owner, now);
+        return complete(requestId, { candidate.upstream, true, pending.requests, pending.exhausted, false, decision.count, candidate.limit, decision.isContextNew });
+    }
+    bool const isLeast = !pending.leastLoaded || decision.count < pending.leastLoadedCount;
+    if (decision.isExhausted) {
+        pending.exhausted.push_back(candidate.upstream);
+    } else if (isLeast) {
+        pending.leastLoaded = pending.candidateIndex;
+        pending.leastLoadedCount = decision.count;
+        pending.isContextNewAtLeastLoaded = decision.isContextNew;
+    }
+    tryNextCandidate(requestId, now);
+}
+
+void PermitExchange::tryNextCandidate(uint64_t requestId, Instant now)
+{
+    auto& pending = m_pending.at(requestId);
+    ++pending.candidateIndex;
+    pending.ownersTried = 0;
+    if (pending.candidateIndex < pending.candidates.size() && m_extraRequests.take(m_bounds.extraRequestsPerSecond, now))
+        sendRequest(requestId, now);
+    else
+        concludeWithoutPermit(requestId, now);
+}
+
+// No further candidate can be tried, so the least loaded one whose owner has responded is chosen.
+void PermitExchange::concludeWithoutPermit(uint64_t requestId, Instant now)
+{
+    auto& pending = m_pending.at(requestId);
+    Outcome outcome { {}, false, pending.requests, pending.exhausted };
+    if (pending.leastLoaded) {
+        auto const candidate = pending.candidates[*pending.leastLoaded];
+        if (candidate.hardLimit && !pending.isFinalRequest && pending.leastLoadedCount < *candidate.hardLimit)
+            return requestUpToHardLimit(requestId, candidate, now);
+        outcome.isFull = candidate.hardLimit.has_value();
+    }
+    if (pending.leastLoaded && !outcome.isFull) {
+        auto const candidate = pending.candidates[*pending.leastLoaded];
+        outcome.upstream = candidate.upstream;
+        outcome.inFlight = pending.leastLoadedCount;
+        outcome.isContextNew = pending.isContextNewAtLeastLoaded;
+        outcome.limit = candidate.limit;
+        requestStarted(candidate.upstream, candidate.hall, now);
+    }
+    complete(requestId, outcome);
+}
+
+// Other daemons may have sent requests there since the owner responded, so the hard limit can only
+// be enforced by another permit.
+void PermitExchange::requestUpToHardLimit(uint64_t requestId, Candidate candidate, Instant now)
+{
+    auto& pending = m_pending.at(requestId);
+    pending.isFinalRequest = true;
+    pending.candidateIndex = pending.candidates.size();
+    pending.ownersTried = 0;
+    candidate.limit = *candidate.hardLimit;
+    pending.candidates.push_back(candidate);
+    sendRequest(requestId, now);
+}
+
+void PermitExchange::complete(uint64_t requestId, Outcome const& outcome)
+{
+    auto pending = m_pending.extract(requestId);
+    pending.mapped().callback(outcome);
+}
+
+PermitExchange::LocalCount& PermitExchange::addLocalRequest(UpstreamId upstream, HallId hall, VMId owner, Instant now)
+{
+    auto& local = m_localCounts[upstream];
+    ++local.count;
+    local.hall = hall;
+    local.reportedTo = owner;
+    local.reportedAt = now;
+    return local;
+}
+
+void PermitExchange::requestStarted(UpstreamId upstream, HallId hall, Instant now)
+{
+    auto const owner = ownerOf(upstream, hall, now);
+    auto& local = addLocalRequest(upstream, hall, owner.value_or(m_self.id), now);
+    if (owner)
+        sendReport(upstream, local, now);
+}
+
+void PermitExchange::requestFinished(UpstreamId upstream, Instant now)
+{
+    auto const found = m_localCounts.find(upstream);
+    if (found == m_localCounts.end())
+        return;
+    auto& local = found->second;
+    --local.count;
+    sendReport(upstream, local, now);
+    if (!local.count)
+        m_localCounts.erase(found);
+}
+
+void PermitExchange::sendReport(UpstreamId upstream, LocalCount& local, Instant now)
+{
+    local.reportedAt = now;
+    if (local.reportedTo == m_self.id)
+        m_inFlightCounter.report(m_self.id, upstream, local.count, now);
+    else
+        m_hooks.send(local.reportedTo, encodePermitMessage(InFlightReport { upstream, local.count }));
+}
+
+Result<void> PermitExchange::receive(VMId from, std::string_view bytes, Instant now)
+{
+    auto const message = TRY(decodePermitMessage(bytes));
+    if (auto const* request = std::get_if<PermitRequest>(&message)) {
+        auto const decision = decide(from, *request, now);
+        m_hooks.send(from, encodePermitMessage(PermitResponse { request->requestId, decision.isGranted, decision.count, decision.isExhausted, decision.isContextNew }));
+        return {};
+    }
+    if (auto const* report = std::get_if<InFlightReport>(&message)) {
+        m_inFlightCounter.report(from, report->upstream, report->ownInFlight, now);
+        return {};
+    }
+    auto const& response = std::get<PermitResponse>(message);
+    auto const found = m_pending.find(response.requestId);
+    if (found == m_pending.end() || found->second.owner != from) {
+        handleLateResponse(response.requestId, from, now);
+        return {};
+    }
+    m_suspectedUntil.erase(from);
+    m_roundTrip.add(now - found->second.sentAt);
+    handleResponse(response.requestId, { response.isGranted, response.count, response.isExhausted, response.isContextNew }, now);
+    return {};
+}
+
+// Any permit in the late response was revoked by the report at the timeout. The response shows that
+// the owner is alive but slower than estimated. It is no longer suspected, since neither owner has a
+// complete count while some daemons use the next one.
+void PermitExchange::handleLateResponse(uint64_t requestId, VMId from, Instant now)
+{
+    auto const found = std::find_if(m_timedOutRequests.begin(), m_timedOutRequests.end(), [&](auto const& timedOut) { return timedOut.requestId == requestId && timedOut.owner == from; });
+    if (found == m_timedOutRequests.end())
+        return;
+    m_roundTrip.add(now - found->sentAt);
+    m_suspectedUntil.erase(from);
+    m_timedOutRequests.erase(found);
+}
+
+// The owner may have granted a permit whose response is late or lost. The report of the actual count
+// revokes it.
+void PermitExchange::handleTimeout(uint64_t requestId, Instant now)
+{
+    ++m_unansweredRequests;
+    auto const& pending = m_pending.at(requestId);
+    auto const upstream = pending.candidates[pending.candidateIndex].upstream;
+    m_suspectedUntil[pending.owner] = now + m_bounds.suspectDuration;
+    m_timedOutRequests.push_back({ requestId, pending.owner, pending.sentAt });
+    if (m_timedOutRequests.size() > maxTimedOutRequests)
+        m_timedOutRequests.pop_front();
+    if (m_hooks.unanswered)
+        m_hooks.unanswered(pending.owner, upstream, now - pending.sentAt);
+    m_hooks.send(pending.owner, encodePermitMessage(InFlightReport { upstream, localInFlight(upstream) }));
+    sendRequest(requestId, now);
+}
+
+std::optional<Instant> PermitExchange::nextTimeout() const
+{
+    std::optional<Instant> next;
+    for (auto const& [requestId, pending] : m_pending)
+        next = std::min(next.value_or(pending.deadline), pending.deadline);
+    return next;
+}
+
+void PermitExchange::tick(Instant now)
+{
+    std::vector<uint64_t> timedOut;
+    for (auto const& [requestId, pending] : m_pending) {
+        if (now >= pending.deadline)
+            timedOut.push_back(requestId);
+    }
+    for (auto const requestId : timedOut) {
+        if (m_pending.contains(requestId))
+            handleTimeout(requestId, now);
+    }
+    if (now - m_housekeepingAt < m_bounds.housekeepingInterval)
+        return;
+    m_housekeepingAt = now;
+    m_inFlightCounter.tick(now);
+    for (auto& [upstream, local] : m_localCounts) {
+        if (now - local.reportedAt <= inFlightReportInterval(m_hooks.forecast(upstream).holdTime))
+            continue;
+        local.reportedTo = ownerOf(upstream, local.hall, now).value_or(m_self.id);
+        sendReport(upstream, local, now);
+    }
+}
+
+}
--- a/Libraries/LibRouting/ServicePlacement.cpp
+++ b/Libraries/LibRouting/ServicePlacement.cpp
@@ -454,7 +454,7 @@
     return sum / static_cast<double>(usable.size());
 }
 
-std::vector<LedgerExchange::Candidate> ServicePlacement::candidatesForOwners(Request const& request, Instant now)
+std::vector<PermitExchange::Candidate> ServicePlacement::candidatesForOwners(Request const& request, Instant now)
 {
     auto const reached = reachable(available(request, now), now);
     if (!request.context)
@@ -474,10 +474,10 @@
     return ownerCandidates(request, usable, now);
 }
 
-std::vector<LedgerExchange::Candidate> ServicePlacement::ownerCandidates(Request const& request, std::vector<Upstream*> const& upstreams, Instant now) const
+std::vector<PermitExchange::Candidate> ServicePlacement::ownerCandidates(Request const& request, std::vector<Upstream*> const& upstreams, Instant now) const
 {
     auto const most = maxLoadFor(request);
-    std::vector<LedgerExchange::Candidate> result;
+    std::vector<PermitExchange::Candidate> result;
     result.reserve(std::min(maxOwnersAsked, upstreams.size()));
     for (auto const* upstream : upstreams) {
         if (result.size() == maxOwnersAsked)
@@ -498,7 +498,7 @@
 }
 
 // A grant isn't used if the upstream has begun to leave or to back off since.
-std::optional<ServicePlacement::Choice> ServicePlacement::choiceFromOwners(Request const& request, LedgerExchange::Outcome const& outcome, Instant now)
+std::optional<ServicePlacement::Choice> ServicePlacement::choiceFromOwners(Request const& request, PermitExchange::Outcome const& outcome, Instant now)
 {
     auto const found = outcome.upstream ? m_upstreams.find(*outcome.upstream) : m_upstreams.end();
     if (found == m_upstreams.end() || !takesRequests(found->second, now))
@@ -506,7 +506,7 @@
     if (isCold(found->second, now) && !found->second.health.allows(now, request.isRepeatable))
         return {};
     auto const rule = outcome.isGranted ? PlacementRule::Granted : PlacementRule::Least;
-    return makeChoice(request, *outcome.upstream, { rule, m_load.countsAge(), m_load.hold(), outcome.asks, outcome.counted, outcome.limit }, now);
+    return makeChoice(request, *outcome.upstream, { rule, m_load.countsAge(), m_load.hold(), outcome.requests, outcome.inFlight, outcome.limit }, now);
 }
 
 UpstreamForecast ServicePlacement::forecast(UpstreamId id, Instant now) const
--- a/Libraries/LibRouting/ServicePlacement.h
+++ b/Libraries/LibRouting/ServicePlacement.h
@@ -4,8 +4,8 @@
 #include <LibBase/Ids.h>
 #include <LibRouting/AcceptedShare.h>
 #include <LibRouting/AdmissionGate.h>
-#include <LibRouting/LedgerExchange.h>
 #include <LibRouting/LoadEstimate.h>
+#include <LibRouting/PermitExchange.h>
 #include <LibRouting/PlacementRule.h>
 #include <LibRouting/PromptChain.h>
 #include <LibRouting/ServiceLoad.h>
@@ -108,9 +108,9 @@
     // first ones in the rendezvous order of its context. Without a context, owners are asked only
     // if a cold upstream is drawn at random. If there are none, or the request is to be a trial
     // for an upstream that didn't answer, the result is empty and choose() decides.
-    std::vector<LedgerExchange::Candidate> candidatesForOwners(Request const&, Instant now);
+    std::vector<PermitExchange::Candidate> candidatesForOwners(Request const&, Instant now);
     // The choice from the owners' answers; none if the upstream has become unavailable since.
-    std::optional<Choice> choiceFromOwners(Request const&, LedgerExchange::Outcome const&, Instant now);
+    std::optional<Choice> choiceFromOwners(Request const&, PermitExchange::Outcome const&, Instant now);
     // The first of the holders that can provide a context and isn't the chosen upstream.
     std::optional<UpstreamId> firstUsableSource(std::vector<UpstreamId> const& holders, UpstreamId chosen, Instant now) const;
     // The expected load of an upstream, from this daemon's own data.
@@ -162,7 +162,7 @@
     std::vector<Upstream*> warm(std::vector<Upstream*> const&, Instant now) const;
     std::vector<Upstream*> availableCold(Request const&, std::vector<Upstream*> const&, Instant now) const;
     std::vector<Upstream*> randomCold(Request const&, std::vector<Upstream*> const&, Instant now);
-    std::vector<LedgerExchange::Candidate> ownerCandidates(Request const&, std::vector<Upstream*> const&, Instant now) const;
+    std::vector<PermitExchange::Candidate> ownerCandidates(Request const&, std::vector<Upstream*> const&, Instant now) const;
     std::optional<size_t> maxLoadFor(Request const&) const;
     std::optional<ColdStartNotice> coldNotice(Upstream const&, Instant now) const;
     static bool takesRequests(Upstream const&, Instant now);
--- a/Libraries/LibRouting/UpstreamOwner.cpp
+++ b/Libraries/LibRouting/UpstreamOwner.cpp
@@ -93,7 +93,7 @@
 {
     m_leases[lease] = { entry, chat, contextTokens, now + leaseDuration };
     m_grantedDuringTakeover += now < m_takeoverEnd;
-    m_contexts.hold(chat, contextTokens);
+    m_contexts.insert(chat, contextTokens);
     updatePeakLeases(now);
 }
 
@@ -109,7 +109,7 @@
 
 LeaseResponse UpstreamOwner::requestLease(LeaseRequest const& request, VMId entry, double organisationWeight, double meanLoad, Instant now)
 {
-    bool const isHeld = m_contexts.holds(request.chat);
+    bool const isHeld = m_contexts.contains(request.chat);
     LeaseResponse response;
     response.lease = request.lease;
     if (m_leases.contains(request.lease))
@@ -208,7 +208,7 @@
             continue;
         }
         m_leases[lease.lease] = { entry, lease.chat, lease.contextTokens, now + leaseDuration };
-        m_contexts.hold(lease.chat, lease.contextTokens);
+        m_contexts.insert(lease.chat, lease.contextTokens);
         updatePeakLeases(now);
     }
 }
@@ -240,7 +240,7 @@
         auto const next = hasSlot(Priority::Bulk, meanLoad, now) ? m_queue.pop() : m_queue.popUrgent();
         if (!next)
             break;
-        bool const isHeld = m_contexts.holds(next->chat);
+        bool const isHeld = m_contexts.contains(next->chat);
         grant(next->lease, next->entry, next->chat, next->contextTokens, now);
         responses.push_back({ next->entry, grantedResponse(next->lease, isHeld) });
     }
@@ -259,9 +259,9 @@
 void UpstreamOwner::handleCacheEvent(ChatId chat, bool isStored, uint32_t tokens)
 {
     if (isStored)
-        m_contexts.hold(chat, tokens);
+        m_contexts.insert(chat, tokens);
     else
-        m_contexts.forget(chat);
+        m_contexts.erase(chat);
 }
 
 std::vector<WaitingRequest> UpstreamOwner::drainQueue()
--- a/Meta/Measure/Placement/PlacementMeasurement.cpp
+++ b/Meta/Measure/Placement/PlacementMeasurement.cpp
@@ -99,7 +99,7 @@
         auto const before = mallinfo2().uordblks;
         ContextTable table(UpstreamOwner::maxChats, UpstreamOwner::maxChats / 4);
         for (uint64_t chat = 1; chat <= UpstreamOwner::maxChats; ++chat)
-            table.hold(ChatId(mixHashes(chat, chat)), 1000);
+            table.insert(ChatId(mixHashes(chat, chat)), 1000);
         return static_cast<double>(mallinfo2().uordblks - before) / static_cast<double>(UpstreamOwner::maxChats);
     }
 
--- a/Services/stagepostd/CrashDetector.cpp
+++ b/Services/stagepostd/CrashDetector.cpp
@@ -73,16 +73,16 @@
     m_metrics.count("stagepost_upstream_ends_total");
     logEvent(LogLevel::Warning, "upstream-ended", { { "instance", check.mapped().instance }, { "evidence", evidence }, { "requests", requests.size() } });
     for (auto const request : requests) {
-        if (!m_suspects.ended(request, upstream, m_loop.now()))
+        if (!m_suspects.recordCrash(request, upstream, m_loop.now()))
             continue;
-        logEvent(LogLevel::Info, "crash-evidence", { { "request", hexOf(request.value()) }, { "source", "seen" }, { "instance", check.mapped().instance }, { "ends", m_suspects.endCount(request) }, { "guilty", m_suspects.isGuilty(request) ? 1 : 0 } });
+        logEvent(LogLevel::Info, "crash-evidence", { { "request", hexOf(request.value()) }, { "source", "seen" }, { "instance", check.mapped().instance }, { "ends", m_suspects.crashCount(request) }, { "guilty", m_suspects.isPoison(request) ? 1 : 0 } });
         m_hooks.evidenceChanged(request);
     }
 }
 
 void CrashDetector::requestAnswered(RequestFingerprint request)
 {
-    if (!m_suspects.answered(request, m_loop.now()))
+    if (!m_suspects.recordSuccess(request, m_loop.now()))
         return;
     logEvent(LogLevel::Info, "crash-evidence-cleared", { { "request", hexOf(request.value()) }, { "source", "answered" } });
     m_hooks.evidenceChanged(request);
--- a/Services/stagepostd/Gateway.cpp
+++ b/Services/stagepostd/Gateway.cpp
@@ -476,7 +476,7 @@
     setServiceGauges();
     m_metrics.setGauge("stagepost_open_requests", static_cast<double>(m_server.openExchanges()));
     m_metrics.setGauge("stagepost_upstreams", static_cast<double>(m_serviceTable.upstreamCount()));
-    m_metrics.setGauge("stagepost_suspect_requests", static_cast<double>(m_suspects.all().size()));
+    m_metrics.setGauge("stagepost_suspect_requests", static_cast<double>(m_suspects.suspects().size()));
     m_metrics.setGauge("stagepost_control_bytes_sent", static_cast<double>(m_peers.bytesSent()));
     m_metrics.setGauge("stagepost_peer_unreadable_counts", static_cast<double>(m_peers.unreadableCounts()));
     m_metrics.setGauge("stagepost_owner_asks_unanswered", static_cast<double>(m_peers.unansweredAsks()));
--- a/Services/stagepostd/GatewayPeers.cpp
+++ b/Services/stagepostd/GatewayPeers.cpp
@@ -77,7 +77,7 @@
     m_crashExchange = std::make_unique<CrashExchange>(peer, m_suspects, CrashExchange::Bounds {}, crashHooks());
     // Kept when the daemon joins again with another key, since requests may wait for answers.
     if (!m_ledgerExchange)
-        m_ledgerExchange = std::make_unique<LedgerExchange>(peer, LedgerExchange::Bounds {}, ledgerHooks());
+        m_ledgerExchange = std::make_unique<PermitExchange>(peer, PermitExchange::Bounds {}, ledgerHooks());
     if (!m_holderExchange)
         m_holderExchange = std::make_unique<HolderExchange>(peer, HolderExchange::Bounds {}, HolderExchange::Hooks { [this](VMId to, std::string const& body) { send(to, PeerMessageKind::Holders, body); } });
     m_ticker.every(tickInterval, [this] {
@@ -107,13 +107,13 @@
     CrashExchange::Hooks hooks;
     hooks.send = [this](VMId to, std::string const& body) { send(to, PeerMessageKind::Crashes, body); };
     hooks.relays = [this] { return m_stateExchange->relays(); };
-    hooks.askers = [this] { return m_stateExchange->recentRequesters(); };
+    hooks.subscribers = [this] { return m_stateExchange->recentRequesters(); };
     return hooks;
 }
 
-LedgerExchange::Hooks GatewayPeers::ledgerHooks()
+PermitExchange::Hooks GatewayPeers::ledgerHooks()
 {
-    LedgerExchange::Hooks hooks;
+    PermitExchange::Hooks hooks;
     hooks.send = [this](VMId to, std::string const& body) { send(to, PeerMessageKind::Ledger, body); };
     hooks.forecast = m_hooks.forecast;
     hooks.unanswered = [](VMId owner, UpstreamId upstream, Microseconds waited) {
@@ -122,7 +122,7 @@
     return hooks;
 }
 
-void GatewayPeers::chooseByOwners(LedgerExchange::Wish wish, LedgerExchange::Callback callback)
+void GatewayPeers::chooseByOwners(PermitExchange::CandidateList wish, PermitExchange::Callback callback)
 {
     if (m_stateExchange->isRelay() && m_stateExchange->peerCount() > maxPeersForRelayContextAsks)
         wish.context.reset();
@@ -132,7 +132,7 @@
 
 void GatewayPeers::findContextHolders(uint64_t context, UpstreamId upstream, HolderExchange::Callback callback)
 {
-    m_holderExchange->placed(context, upstream, std::move(callback), m_loop.now());
+    m_holderExchange->recordPlacement(context, upstream, std::move(callback), m_loop.now());
     scheduleAnswerTimeout();
 }
 
@@ -154,13 +154,13 @@
 void GatewayPeers::requestStarted(UpstreamId upstream, HallId hall)
 {
     if (m_ledgerExchange)
-        m_ledgerExchange->began(upstream, hall, m_loop.now());
+        m_ledgerExchange->requestStarted(upstream, hall, m_loop.now());
 }
 
 void GatewayPeers::requestEnded(UpstreamId upstream)
 {
     if (m_ledgerExchange)
-        m_ledgerExchange->ended(upstream, m_loop.now());
+        m_ledgerExchange->requestFinished(upstream, m_loop.now());
 }
 
 void GatewayPeers::setPeers(std::vector<GatewayPeer> const& peers)
@@ -198,7 +198,7 @@
 void GatewayPeers::shareCrashEvidence(RequestFingerprint request, Instant now)
 {
     if (m_crashExchange)
-        m_crashExchange->seen(request, now);
+        m_crashExchange->announce(request, now);
 }
 
 bool GatewayPeers::handleCrashMessage(VMId from, std::string_view body)
@@ -210,7 +210,7 @@
         return false;
     auto const sender = m_peers.find(from);
     for (auto const request : *changedRequests)
-        logEvent(LogLevel::Info, "crash-evidence", { { "request", hexOf(request.value()) }, { "source", "told" }, { "peer", sender == m_peers.end() ? "" : sender->second.name }, { "ends", m_suspects.endCount(request) }, { "guilty", m_suspects.isGuilty(request) ? 1 : 0 } });
+        logEvent(LogLevel::Info, "crash-evidence", { { "request", hexOf(request.value()) }, { "source", "told" }, { "peer", sender == m_peers.end() ? "" : sender->second.name }, { "ends", m_suspects.crashCount(request) }, { "guilty", m_suspects.isPoison(request) ? 1 : 0 } });
     return true;
 }
 
--- a/Services/stagepostd/GatewayPeers.h
+++ b/Services/stagepostd/GatewayPeers.h
@@ -7,7 +7,7 @@
 #include <LibProxy/Timer.h>
 #include <LibRouting/CrashExchange.h>
 #include <LibRouting/HolderExchange.h>
-#include <LibRouting/LedgerExchange.h>
+#include <LibRouting/PermitExchange.h>
 #include <memory>
 #include <stagepostd/GatewayState.h>
 #include <stagepostd/PeerChannel.h>
@@ -47,7 +47,7 @@
         // Merges another daemon's state, with the time as of which it is proven, if it is.
         std::function<void(GatewayState const&, std::optional<Instant> provenAt)> mergeState;
         // This daemon's own forecast for an upstream.
-        InFlightLedger::Forecast forecast;
+        InFlightCounter::Forecast forecast;
     };
 
     GatewayPeers(EventLoop&, Metrics&, StateExchange::Bounds, CrashSuspects&, RandomHook, Hooks);
@@ -78,14 +78,14 @@
 
     // Whether upstreams' owners can be asked.
     bool canAskOwners() const { return m_ledgerExchange != nullptr; }
-    // See LedgerExchange::choose().
-    void chooseByOwners(LedgerExchange::Wish, LedgerExchange::Callback);
+    // See PermitExchange::choose().
+    void chooseByOwners(PermitExchange::CandidateList, PermitExchange::Callback);
     // See HolderExchange::placed().
     void findContextHolders(uint64_t context, UpstreamId, HolderExchange::Callback);
     void requestStarted(UpstreamId, HallId);
     void requestEnded(UpstreamId);
-    size_t unansweredAsks() const { return m_ledgerExchange ? m_ledgerExchange->unansweredAsks() : 0; }
-    size_t exhaustedAsks() const { return m_ledgerExchange ? m_ledgerExchange->exhaustedAsks() : 0; }
+    size_t unansweredAsks() const { return m_ledgerExchange ? m_ledgerExchange->unansweredRequests() : 0; }
+    size_t exhaustedAsks() const { return m_ledgerExchange ? m_ledgerExchange->deniedColdRequests() : 0; }
 
     // Bytes sent in datagrams since the start, without UDP and IP headers.
     uint64_t bytesSent() const { return m_channel ? m_channel->socket().bytesSent() : 0; }
@@ -95,7 +95,7 @@
 private:
     StateExchange::Hooks exchangeHooks();
     CrashExchange::Hooks crashHooks();
-    LedgerExchange::Hooks ledgerHooks();
+    PermitExchange::Hooks ledgerHooks();
     void scheduleAnswerTimeout();
     bool handleCrashMessage(VMId from, std::string_view body);
     void handleMessage(PeerMessageKind, VMId from, Endpoint const& source, std::string_view body);
@@ -123,7 +123,7 @@
     std::unique_ptr<PeerChannel> m_channel;
     std::unique_ptr<StateExchange> m_stateExchange;
     std::unique_ptr<CrashExchange> m_crashExchange;
-    std::unique_ptr<LedgerExchange> m_ledgerExchange;
+    std::unique_ptr<PermitExchange> m_ledgerExchange;
     std::unique_ptr<HolderExchange> m_holderExchange;
     Timer m_ticker;
     // Expires when the next answer of an owner, or of a context's home, is overdue.
--- a/Services/stagepostd/GatewayRequestHandler.cpp
+++ b/Services/stagepostd/GatewayRequestHandler.cpp
@@ -141,19 +141,19 @@
         placeWithoutOwners(wish);
         return;
     }
-    m_services.peers.chooseByOwners({ wish.context, std::move(candidates) }, [self = shared_from_this()](LedgerExchange::Outcome const& outcome) {
+    m_services.peers.chooseByOwners({ wish.context, std::move(candidates) }, [self = shared_from_this()](PermitExchange::Outcome const& outcome) {
         self->handleOwnerReply(outcome);
     });
 }
 
-void GatewayRequestHandler::handleOwnerReply(LedgerExchange::Outcome const& outcome)
+void GatewayRequestHandler::handleOwnerReply(PermitExchange::Outcome const& outcome)
 {
     m_countedUpstream = outcome.upstream;
     if (endedWhileWaiting())
         return;
     auto wish = this->wish();
     auto const choice = m_service.placement.choiceFromOwners(wish, outcome, m_services.loop.now());
-    if (choice && outcome.isNewThere && wish.context) {
+    if (choice && outcome.isContextNew && wish.context) {
         findHolders(*wish.context, *choice);
         return;
     }
--- a/Services/stagepostd/GatewayRequestHandler.h
+++ b/Services/stagepostd/GatewayRequestHandler.h
@@ -62,7 +62,7 @@
     ServicePlacement::Request wish() const;
     bool needsOwner(ServicePlacement::Request const&) const;
     void askOwners(ServicePlacement::Request const&);
-    void handleOwnerReply(LedgerExchange::Outcome const&);
+    void handleOwnerReply(PermitExchange::Outcome const&);
     void findHolders(uint64_t context, ServicePlacement::Choice const&);
     void sendWithContextSource(ServicePlacement::Choice, std::vector<UpstreamId> const& holders);
     // Whether the caller has left, or the request may no longer be sent, since an answer of another
--- a/Services/stagepostd/PlacementExplanation.cpp
+++ b/Services/stagepostd/PlacementExplanation.cpp
@@ -30,7 +30,7 @@
             row.isOwnedHere = true;
             row.load = owner->load();
             row.cap = owner->cap(mean, now);
-            row.holdsContext = owner->contexts().holds(id);
+            row.holdsContext = owner->contexts().contains(id);
         }
         result.push_back(row);
     }
--- a/Tests/LibRouting/TestUpstreamBackoff.cpp
+++ b/Tests/LibRouting/TestUpstreamBackoff.cpp
@@ -109,7 +109,7 @@
     BOOST_REQUIRE(candidates.size() == 1u);
     BOOST_TEST((candidates.front().upstream == UpstreamId(2)));
     // A grant that was requested before the back-off isn't used either.
-    LedgerExchange::Outcome granted;
+    PermitExchange::Outcome granted;
     granted.upstream = UpstreamId(1);
     granted.isGranted = true;
     BOOST_TEST(!fixture.placement.choiceFromOwners(request, granted, fixture.now).has_value());
--- a/Tests/LoadPatterns/StreamFleet.cpp
+++ b/Tests/LoadPatterns/StreamFleet.cpp
@@ -164,11 +164,11 @@
 
 void StreamFleet::addLedger(size_t daemon)
 {
-    LedgerExchange::Hooks hooks;
+    PermitExchange::Hooks hooks;
     hooks.send = [this, daemon](VMId to, std::string const& bytes) { post(m_now, { daemon, to.value() - 1, bytes }); };
     hooks.forecast = [this, daemon](UpstreamId upstream) { return m_daemons[daemon].placement->forecast(upstream, at(m_now)); };
     auto& ledger = m_daemons[daemon].ledger;
-    ledger = std::make_unique<LedgerExchange>(FleetPeer { VMId(daemon + 1), HallId(1) }, LedgerExchange::Bounds {}, hooks);
+    ledger = std::make_unique<PermitExchange>(FleetPeer { VMId(daemon + 1), HallId(1) }, PermitExchange::Bounds {}, hooks);
     std::vector<FleetPeer> peers;
     for (size_t number = 0; number < m_daemons.size(); ++number)
         peers.push_back({ VMId(number + 1), HallId(1) });
@@ -395,14 +395,14 @@
     wish.priority = kind.priority;
     auto candidates = m_daemons[daemon].placement->candidatesForOwners(wish, at(now));
     m_daemons[daemon].ledger->choose(
-        { wish.context, std::move(candidates) }, [this, daemon, wish, &kind](LedgerExchange::Outcome const& outcome) mutable {
+        { wish.context, std::move(candidates) }, [this, daemon, wish, &kind](PermitExchange::Outcome const& outcome) mutable {
             auto& placement = *m_daemons[daemon].placement;
             auto choice = placement.choiceFromOwners(wish, outcome, at(m_now));
             if (outcome.isFull) {
                 ++m_outcome.seconds[static_cast<size_t>(m_now)].refused;
                 return;
             }
-            if (choice && outcome.isNewThere && m_daemons[daemon].holders) {
+            if (choice && outcome.isContextNew && m_daemons[daemon].holders) {
                 sendFromHolders(daemon, kind, *wish.context, *choice);
                 return;
             }
@@ -410,7 +410,7 @@
                 wish.avoided = outcome.exhausted;
                 choice = placement.choose(wish, at(m_now));
                 if (choice)
-                    m_daemons[daemon].ledger->began(choice->upstream, HallId(1), at(m_now));
+                    m_daemons[daemon].ledger->requestStarted(choice->upstream, HallId(1), at(m_now));
             }
             sendTo(m_now, daemon, kind, *wish.context, choice);
         },
@@ -422,7 +422,7 @@
 void StreamFleet::sendFromHolders(size_t daemon, StreamKind const& kind, uint64_t context, ServicePlacement::Choice const& chosen)
 {
     auto& holders = *m_daemons[daemon].holders;
-    holders.placed(
+    holders.recordPlacement(
         context, chosen.upstream, [this, daemon, chosen, &kind, context](auto const& known) {
             auto choice = chosen;
             if (auto const source = m_daemons[daemon].placement->firstUsableSource(known, choice.upstream, at(m_now)))
@@ -502,7 +502,7 @@
     --daemon.inFlight[event.upstream];
     daemon.placement->finished(UpstreamId(event.upstream + 1), SendOutcome::Succeeded, Milliseconds(40), Microseconds(static_cast<int64_t>((event.at - event.startedAt) * 1e6)), at(event.at));
     if (daemon.ledger)
-        daemon.ledger->ended(UpstreamId(event.upstream + 1), at(event.at));
+        daemon.ledger->requestFinished(UpstreamId(event.upstream + 1), at(event.at));
 }
 
 void StreamFleet::sample(double now)
--- a/Tests/LoadPatterns/StreamFleet.h
+++ b/Tests/LoadPatterns/StreamFleet.h
@@ -145,7 +145,7 @@
         std::unique_ptr<ServicePlacement> placement;
         std::unique_ptr<AdmissionGate> gate;
         std::map<size_t, size_t> inFlight;
-        std::unique_ptr<LedgerExchange> ledger;
+        std::unique_ptr<PermitExchange> ledger;
         std::unique_ptr<HolderExchange> holders;
     };
     // Between two daemons.
--- a/Tests/platform/TestCrashDetector.cpp
+++ b/Tests/platform/TestCrashDetector.cpp
@@ -34,8 +34,8 @@
     // One probe for both requests.
     BOOST_TEST(world.probes.size() == 1u);
     world.answerProbe(PortState::Closed);
-    BOOST_TEST(world.suspects.endCount(request) == 1u);
-    BOOST_TEST(world.suspects.endCount(RequestFingerprint(78)) == 1u);
+    BOOST_TEST(world.suspects.crashCount(request) == 1u);
+    BOOST_TEST(world.suspects.crashCount(RequestFingerprint(78)) == 1u);
     BOOST_TEST(world.seen.size() == 2u);
 }
 
@@ -61,7 +61,7 @@
     world.detector.tick();
     BOOST_REQUIRE(world.probes.size() == 1u);
     world.answerProbe(PortState::Closed);
-    BOOST_TEST(world.suspects.endCount(request) == 1u);
+    BOOST_TEST(world.suspects.crashCount(request) == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(RestartRecordsACrash)
@@ -72,7 +72,7 @@
     world.detector.upstreamRestarted(UpstreamId(11));
     BOOST_TEST(!world.detector.hasSuspects());
     world.detector.upstreamRestarted(upstream);
-    BOOST_TEST(world.suspects.endCount(request) == 1u);
+    BOOST_TEST(world.suspects.crashCount(request) == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(AnswerClearsTheEvidenceAndIsShared)
@@ -81,7 +81,7 @@
     world.breakOff(request);
     world.answerProbe(PortState::Closed);
     world.detector.requestAnswered(request);
-    BOOST_TEST(world.suspects.endCount(request) == 0u);
+    BOOST_TEST(world.suspects.crashCount(request) == 0u);
     BOOST_TEST(world.seen.size() == 2u);
     world.detector.requestAnswered(request);
     BOOST_TEST(world.seen.size() == 2u);
--- a/Tests/platform/TestServiceTable.cpp
+++ b/Tests/platform/TestServiceTable.cpp
@@ -150,7 +150,7 @@
     auto& placement = world.table.service("book").placement;
     ServicePlacement::Request wish;
     wish.context = 7;
-    LedgerExchange::Outcome const granted { upstream("a", 5).id(), true, 1 };
+    PermitExchange::Outcome const granted { upstream("a", 5).id(), true, 1 };
     BOOST_TEST(placement.choiceFromOwners(wish, granted, world.now).has_value());
     world.table.setHallEmptied(HallId::fromName("north"), true, world.now);
     BOOST_TEST(!placement.choiceFromOwners(wish, granted, world.now).has_value());
