--- a/Libraries/LibOnce/ClaimGate.cpp
+++ b/Libraries/LibOnce/ClaimGate.cpp
@@ -34,7 +34,7 @@
 {
     m_options = options;
     for (auto& [index, shard] : m_shards)
-        shard.budget.setRate(m_options.appendsPerSecond);
+        shard.limiter.setRate(m_options.appendsPerSecond);
 }
 
 size_t ClaimGate::shardOf(OnceKey const& key)
@@ -48,7 +48,7 @@
     auto const [found, isNew] = m_shards.try_emplace(index);
     if (isNew) {
         found->second.stream = "claims-" + std::to_string(index);
-        found->second.budget.setRate(m_options.appendsPerSecond);
+        found->second.limiter.setRate(m_options.appendsPerSecond);
     }
     return found->second;
 }
@@ -166,7 +166,7 @@
 void ClaimGate::flush(Shard& shard, Instant now)
 {
     m_now = now;
-    if (shard.isAppending || shard.outgoing.empty() || !shard.budget.take(now))
+    if (shard.isAppending || shard.outgoing.empty() || !shard.limiter.tryAcquire(now))
         return;
     auto const count = std::min(shard.outgoing.size(), mostPerAppend);
     std::vector<ClaimRecord> batch(shard.outgoing.begin(), shard.outgoing.begin() + static_cast<std::ptrdiff_t>(count));
@@ -189,11 +189,11 @@
 {
     shard.isAppending = false;
     if (result) {
-        shard.budget.succeeded();
+        shard.limiter.recordSuccess();
         read(shard);
         return;
     }
-    shard.budget.failed(now, m_hooks.random());
+    shard.limiter.recordFailure(now, m_hooks.random());
     bool const isCertain = result.error().code == make_error_code(ErrorCode::Unreachable) || result.error().code == make_error_code(ErrorCode::LimitReached);
     for (auto const& record : batch) {
         if (record.step != ClaimRecord::Step::Claim) {
--- a/Libraries/LibOnce/ClaimGate.h
+++ b/Libraries/LibOnce/ClaimGate.h
@@ -4,7 +4,7 @@
 #include <LibBase/Ids.h>
 #include <LibBase/RefusalReason.h>
 #include <LibBase/Result.h>
-#include <LibOnce/AppendBudget.h>
+#include <LibOnce/AppendRateLimiter.h>
 #include <LibOnce/ClaimTable.h>
 #include <functional>
 #include <map>
@@ -102,7 +102,7 @@
         ClaimTable table;
         std::vector<ClaimRecord> outgoing;
         std::map<uint64_t, Attempt> attempts;
-        AppendBudget budget { 1 };
+        AppendRateLimiter limiter { 1 };
         bool isAppending { false };
         bool isReading { false };
         bool wantsRead { false };
--- a/Libraries/LibOnce/Forward.h
+++ b/Libraries/LibOnce/Forward.h
@@ -2,7 +2,7 @@
 
 namespace Stagepost {
 
-class AppendBudget;
+class AppendRateLimiter;
 class ClaimGate;
 class ClaimTable;
 class TicketBook;
--- a/Libraries/LibOnce/Once.h
+++ b/Libraries/LibOnce/Once.h
@@ -4,7 +4,7 @@
 // by tickets that one daemon hands out and remembers, or by keys of the callers'
 // own that are claimed on the platform's log. Nothing in it does I/O itself.
 
-#include <LibOnce/AppendBudget.h>
+#include <LibOnce/AppendRateLimiter.h>
 #include <LibOnce/ClaimGate.h>
 #include <LibOnce/ClaimRecord.h>
 #include <LibOnce/ClaimTable.h>
--- a/Tests/LibOnce/TestOnce.cpp
+++ b/Tests/LibOnce/TestOnce.cpp
@@ -138,22 +138,22 @@
     BOOST_TEST((refusal.reason == RefusalReason::KeyOutOfWindow && refusal.verdict == Verdict::MayHaveRun));
 }
 
-BOOST_AUTO_TEST_CASE(TheBudgetSpacesAppendsAndBacksOff)
+BOOST_AUTO_TEST_CASE(AppendsAreRateLimitedAndBackOffAfterFailures)
 {
-    AppendBudget budget(10);
+    AppendRateLimiter limiter(10);
     Instant const start = Instant(Microseconds(1000000));
-    BOOST_TEST(budget.take(start));
-    BOOST_TEST(!budget.take(start + Microseconds(99999)));
-    BOOST_TEST(budget.take(start + Microseconds(100000)));
-    // Past the spacing of the last append, so that the pauses alone show.
+    BOOST_TEST(limiter.tryAcquire(start));
+    BOOST_TEST(!limiter.tryAcquire(start + Microseconds(99999)));
+    BOOST_TEST(limiter.tryAcquire(start + Microseconds(100000)));
+    // Starts after the interval of the last append, so that only the backoff limits.
     auto now = start + Microseconds(1000000);
-    Microseconds before {};
+    Microseconds previousBackoff {};
     for (int failures = 0; failures < 4; ++failures) {
-        budget.failed(now, 0);
-        auto const pause = budget.nextAt() - now;
-        BOOST_TEST((pause > before));
-        before = pause;
-        now = budget.nextAt();
+        limiter.recordFailure(now, 0);
+        auto const backoff = limiter.nextAllowedAt() - now;
+        BOOST_TEST((backoff > previousBackoff));
+        previousBackoff = backoff;
+        now = limiter.nextAllowedAt();
     }
 }
 
