--- a/Libraries/LibOnce/ClaimGate.cpp
+++ b/Libraries/LibOnce/ClaimGate.cpp
@@ -37,12 +37,12 @@
         shard.limiter.setRate(m_options.appendsPerSecond);
 }
 
-size_t ClaimGate::shardOf(OnceKey const& key)
+size_t ClaimGate::shardOf(IdempotencyKey const& key)
 {
     return key.high % shardCount;
 }
 
-ClaimGate::Shard& ClaimGate::shardFor(OnceKey const& key)
+ClaimGate::Shard& ClaimGate::shardFor(IdempotencyKey const& key)
 {
     auto const index = shardOf(key);
     auto const [found, isNew] = m_shards.try_emplace(index);
@@ -53,19 +53,19 @@
     return found->second;
 }
 
-Refusal const* ClaimGate::checkWindow(OnceKey const& key) const
+Refusal const* ClaimGate::checkWindow(IdempotencyKey const& key) const
 {
     auto const now = m_hooks.wallSecond();
-    if (key.madeAt < now - m_options.window.count())
+    if (key.createdAt < now - m_options.window.count())
         return &tooOld;
-    return key.madeAt > now + clockSlack ? &fromTheFuture : nullptr;
+    return key.createdAt > now + clockSlack ? &fromTheFuture : nullptr;
 }
 
 // A claim that was lost may have run: without this its key would be free again. What this
 // daemon still knows of a key goes before.
-bool ClaimGate::mayHaveLost(Shard const& shard, OnceKey const& key) const
+bool ClaimGate::mayHaveLost(Shard const& shard, IdempotencyKey const& key) const
 {
-    return shard.table.returns() < shard.returns || (shard.returns && key.madeAt <= shard.table.lostUpTo());
+    return shard.table.returns() < shard.returns || (shard.returns && key.createdAt <= shard.table.lostUpTo());
 }
 
 void ClaimGate::noteReturns(uint64_t returns)
@@ -84,7 +84,7 @@
     shard.isTellingReturn = true;
     ClaimRecord record;
     record.step = ClaimRecord::Step::Return;
-    record.key.madeAt = m_returnNoticedAt + clockSlack;
+    record.key.createdAt = m_returnNoticedAt + clockSlack;
     record.nonce = shard.returns;
     ++m_appends;
     m_hooks.append(shard.stream, ClaimRecord::encode({ record }), [this, &shard](Result<Offset> const&) {
@@ -95,21 +95,21 @@
 
 // What the log as read so far says about a key, or none when it is free or held
 // by this very attempt.
-std::optional<ClaimGate::Decision> ClaimGate::knownDecision(Shard const& shard, OnceKey const& key, uint64_t fingerprint, uint64_t ownNonce) const
+std::optional<ClaimGate::Decision> ClaimGate::knownDecision(Shard const& shard, IdempotencyKey const& key, uint64_t fingerprint, uint64_t ownNonce) const
 {
     auto const* entry = shard.table.find(key);
     if (!entry || entry->nonce == ownNonce)
         return mayHaveLost(shard, key) ? std::optional<Decision>(lost) : std::nullopt;
     if (entry->fingerprint != fingerprint)
         return Refusal { RefusalReason::KeyReused, Verdict::NotRun, "the key was used for another request", {} };
-    if (entry->state == ClaimTable::State::Done && entry->answer.isWhole)
-        return Replay { entry->answer };
+    if (entry->state == ClaimTable::State::Done && entry->response.isComplete)
+        return Replay { entry->response };
     if (entry->state == ClaimTable::State::Done)
-        return Refusal { RefusalReason::KeyInProgress, Verdict::Ran, "the call has run; its answer is not kept", {} };
+        return Refusal { RefusalReason::KeyInProgress, Verdict::Ran, "the call has run; its response is not kept", {} };
     return Refusal { RefusalReason::KeyInProgress, Verdict::MayHaveRun, "another attempt with this key holds it", retrySoon };
 }
 
-void ClaimGate::claim(OnceKey const& key, uint64_t fingerprint, Instant now, Decided decided)
+void ClaimGate::claim(IdempotencyKey const& key, uint64_t fingerprint, Instant now, Decided decided)
 {
     m_now = now;
     if (auto const* refusal = checkWindow(key)) {
@@ -138,21 +138,21 @@
     flush(shard, now);
 }
 
-void ClaimGate::done(OnceKey const& key, uint64_t nonce, RecordedAnswer answer, Instant now)
+void ClaimGate::done(IdempotencyKey const& key, uint64_t nonce, RecordedResponse response, Instant now)
 {
     ClaimRecord record;
     record.step = ClaimRecord::Step::Done;
     record.key = key;
     record.nonce = nonce;
-    record.answer = std::move(answer);
+    record.response = std::move(response);
     auto& shard = shardFor(key);
-    // Resends through this daemon get the answer at once; the log tells the others.
+    // Resends through this daemon get the response at once; the log tells the others.
     shard.table.apply(record);
     shard.outgoing.push_back(std::move(record));
     flush(shard, now);
 }
 
-void ClaimGate::abandon(OnceKey const& key, uint64_t nonce, Instant now)
+void ClaimGate::abandon(IdempotencyKey const& key, uint64_t nonce, Instant now)
 {
     ClaimRecord record;
     record.step = ClaimRecord::Step::Abandon;
--- a/Libraries/LibOnce/ClaimGate.h
+++ b/Libraries/LibOnce/ClaimGate.h
@@ -36,7 +36,7 @@
         uint64_t fence { 0 };
     };
     struct Replay {
-        RecordedAnswer answer;
+        RecordedResponse response;
     };
     using Decision = std::variant<MayRun, Replay, Refusal>;
     using Decided = std::function<void(Decision const&)>;
@@ -70,14 +70,14 @@
 
     // Which shard a key belongs to; one daemon is asked for each shard, so that
     // only it has to know the shard's keys. Any other may do it as well, safely.
-    static size_t shardOf(OnceKey const&);
+    static size_t shardOf(IdempotencyKey const&);
 
     // Calls back once, now or later.
-    void claim(OnceKey const&, uint64_t fingerprint, Instant now, Decided);
-    // The call has run; its answer is recorded.
-    void done(OnceKey const&, uint64_t nonce, RecordedAnswer, Instant now);
+    void claim(IdempotencyKey const&, uint64_t fingerprint, Instant now, Decided);
+    // The call has run; its response is recorded.
+    void done(IdempotencyKey const&, uint64_t nonce, RecordedResponse, Instant now);
     // The call has certainly not run, so its key is free again.
-    void abandon(OnceKey const&, uint64_t nonce, Instant now);
+    void abandon(IdempotencyKey const&, uint64_t nonce, Instant now);
 
     void tick(Instant now);
 
@@ -87,7 +87,7 @@
 
 private:
     struct Attempt {
-        OnceKey key;
+        IdempotencyKey key;
         uint64_t nonce { 0 };
         uint64_t fingerprint { 0 };
         Decided decided;
@@ -110,19 +110,19 @@
         bool isTellingReturn { false };
     };
 
-    Shard& shardFor(OnceKey const&);
-    std::optional<Decision> knownDecision(Shard const&, OnceKey const&, uint64_t fingerprint, uint64_t ownNonce) const;
+    Shard& shardFor(IdempotencyKey const&);
+    std::optional<Decision> knownDecision(Shard const&, IdempotencyKey const&, uint64_t fingerprint, uint64_t ownNonce) const;
     void flush(Shard&, Instant now);
     void appended(Shard&, std::vector<ClaimRecord> const& batch, Result<Offset> const&, Instant now);
     void read(Shard&);
     void takeRead(Shard&, Result<ReadResult> const&);
     void settleSeen(Shard&, ClaimRecord const&, Offset);
-    bool mayHaveLost(Shard const&, OnceKey const&) const;
+    bool mayHaveLost(Shard const&, IdempotencyKey const&) const;
     // The log was seen to have come back from a copy so often.
     void noteReturns(uint64_t returns);
     void tellReturn(Shard&);
     void giveUp(Shard&, Instant now);
-    Refusal const* checkWindow(OnceKey const&) const;
+    Refusal const* checkWindow(IdempotencyKey const&) const;
 
     ClaimGateOptions m_options;
     Hooks m_hooks;
--- a/Libraries/LibOnce/ClaimRecord.cpp
+++ b/Libraries/LibOnce/ClaimRecord.cpp
@@ -13,15 +13,15 @@
         writer.number(static_cast<uint64_t>(record.step));
         writer.number(record.key.high);
         writer.number(record.key.low);
-        writer.number(static_cast<uint64_t>(record.key.madeAt));
+        writer.number(static_cast<uint64_t>(record.key.createdAt));
         writer.number(record.nonce);
         if (record.step == Step::Claim)
             writer.number(record.fingerprint);
         if (record.step == Step::Done) {
-            writer.number(record.answer.status);
-            writer.text(record.answer.contentType);
-            writer.text(record.answer.body);
-            writer.number(record.answer.isWhole);
+            writer.number(record.response.status);
+            writer.text(record.response.contentType);
+            writer.text(record.response.body);
+            writer.number(record.response.isComplete);
         }
     }
     // The log's records are texts.
@@ -40,15 +40,15 @@
         record.step = static_cast<Step>(step);
         record.key.high = reader.number();
         record.key.low = reader.number();
-        record.key.madeAt = static_cast<int64_t>(reader.number());
+        record.key.createdAt = static_cast<int64_t>(reader.number());
         record.nonce = reader.number();
         if (record.step == Step::Claim)
             record.fingerprint = reader.number();
         if (record.step == Step::Done) {
-            record.answer.status = static_cast<unsigned>(reader.number());
-            record.answer.contentType = reader.text();
-            record.answer.body = reader.text();
-            record.answer.isWhole = reader.number() != 0;
+            record.response.status = static_cast<unsigned>(reader.number());
+            record.response.contentType = reader.text();
+            record.response.body = reader.text();
+            record.response.isComplete = reader.number() != 0;
         }
         records.push_back(std::move(record));
     }
--- a/Libraries/LibOnce/ClaimRecord.h
+++ b/Libraries/LibOnce/ClaimRecord.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <LibBase/Result.h>
-#include <LibOnce/OnceKey.h>
-#include <LibOnce/RecordedAnswer.h>
+#include <LibOnce/IdempotencyKey.h>
+#include <LibOnce/RecordedResponse.h>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -25,14 +25,14 @@
     };
 
     Step step { Step::Claim };
-    OnceKey key;
+    IdempotencyKey key;
     uint64_t nonce { 0 };
     // For Return, the key's time is the second up to which claims may have been lost, and the
     // nonce says which return it was.
     // For Claim: the hash of the request, so that a key is not used for two.
     uint64_t fingerprint { 0 };
     // For Done.
-    RecordedAnswer answer;
+    RecordedResponse response;
 
     // Many steps share one record of the log, whose appends are limited.
     static std::string encode(std::vector<ClaimRecord> const&);
--- a/Libraries/LibOnce/ClaimTable.h
+++ b/Libraries/LibOnce/ClaimTable.h
@@ -23,12 +23,12 @@
         State state { State::Free };
         uint64_t nonce { 0 };
         uint64_t fingerprint { 0 };
-        RecordedAnswer answer;
+        RecordedResponse response;
     };
 
     void apply(ClaimRecord const&);
     // Null for a key that nobody has claimed.
-    Entry const* find(OnceKey const&) const;
+    Entry const* find(IdempotencyKey const&) const;
 
     // Forgets keys that were made before the second; they are out of the window.
     void forgetBefore(int64_t second);
@@ -45,14 +45,14 @@
     size_t bytes() const;
 
 private:
-    // A table entry with its place in two containers, besides the answer.
+    // A table entry with its place in two containers, besides the response.
     static constexpr size_t entryBytes = 192;
 
-    std::unordered_map<OnceKey, Entry> m_entries;
-    std::multimap<int64_t, OnceKey> m_byTime;
+    std::unordered_map<IdempotencyKey, Entry> m_entries;
+    std::multimap<int64_t, IdempotencyKey> m_byTime;
     // Attempts that gave up before their claim reached the log.
     std::map<uint64_t, int64_t> m_abandoned;
-    size_t m_answerBytes { 0 };
+    size_t m_responseBytes { 0 };
     uint64_t m_returns { 0 };
     int64_t m_lostUpTo { 0 };
 };
--- a/Libraries/LibOnce/Forward.h
+++ b/Libraries/LibOnce/Forward.h
@@ -7,7 +7,7 @@
 class ClaimTable;
 class TicketBook;
 struct ClaimRecord;
-struct OnceKey;
-struct RecordedAnswer;
+struct IdempotencyKey;
+struct RecordedResponse;
 
 }
--- a/Libraries/LibOnce/TicketBook.cpp
+++ b/Libraries/LibOnce/TicketBook.cpp
@@ -56,7 +56,7 @@
 {
     if (m_slots.front().state == State::Running)
         return false;
-    m_answerBytes -= m_slots.front().answer.body.size();
+    m_responseBytes -= m_slots.front().response.body.size();
     m_slots.pop_front();
     ++m_first;
     return true;
@@ -95,34 +95,34 @@
     case State::Running:
         return Refusal { RefusalReason::KeyInProgress, Verdict::MayHaveRun, "the ticket's call is running", Milliseconds(1000) };
     case State::Done:
-        if (slot->answer.isWhole)
-            return Replay { slot->answer };
-        return Refusal { RefusalReason::KeyInProgress, Verdict::Ran, "the call has run; its answer is not kept", {} };
+        if (slot->response.isComplete)
+            return Replay { slot->response };
+        return Refusal { RefusalReason::KeyInProgress, Verdict::Ran, "the call has run; its response is not kept", {} };
     case State::InDoubt:
         break;
     }
     return Refusal { RefusalReason::KeyInProgress, Verdict::MayHaveRun, "nobody can say whether the ticket's call has run", {} };
 }
 
-void TicketBook::done(uint64_t serial, RecordedAnswer answer)
+void TicketBook::done(uint64_t serial, RecordedResponse response)
 {
     auto* slot = slotOf(serial);
     if (!slot)
         return;
     slot->state = State::Done;
-    m_answerBytes += answer.body.size();
-    slot->answer = std::move(answer);
+    m_responseBytes += response.body.size();
+    slot->response = std::move(response);
     shrinkAnswers();
 }
 
 void TicketBook::shrinkAnswers()
 {
-    for (m_shrunkBefore = std::max(m_shrunkBefore, m_first); m_answerBytes > m_memoryBytes && m_shrunkBefore < m_first + m_slots.size(); ++m_shrunkBefore) {
-        auto& answer = slotOf(m_shrunkBefore)->answer;
-        m_answerBytes -= answer.body.size();
-        answer.body.clear();
-        answer.body.shrink_to_fit();
-        answer.isWhole = false;
+    for (m_shrunkBefore = std::max(m_shrunkBefore, m_first); m_responseBytes > m_memoryBytes && m_shrunkBefore < m_first + m_slots.size(); ++m_shrunkBefore) {
+        auto& response = slotOf(m_shrunkBefore)->response;
+        m_responseBytes -= response.body.size();
+        response.body.clear();
+        response.body.shrink_to_fit();
+        response.isComplete = false;
     }
 }
 
--- a/Libraries/LibOnce/TicketBook.h
+++ b/Libraries/LibOnce/TicketBook.h
@@ -3,7 +3,7 @@
 #include <LibBase/Authenticator.h>
 #include <LibBase/Ids.h>
 #include <LibBase/RefusalReason.h>
-#include <LibOnce/RecordedAnswer.h>
+#include <LibOnce/RecordedResponse.h>
 #include <deque>
 #include <optional>
 #include <string>
@@ -22,7 +22,7 @@
         uint64_t serial { 0 };
     };
     struct Replay {
-        RecordedAnswer answer;
+        RecordedResponse response;
     };
     // Another daemon has handed the ticket out; it alone may run it.
     struct HeldElsewhere {
@@ -43,14 +43,14 @@
     // Decides on a request that carries the ticket; MayRun is given once at most.
     Decision use(std::string_view ticket, OrganisationId, uint64_t fingerprint);
 
-    void done(uint64_t serial, RecordedAnswer);
+    void done(uint64_t serial, RecordedResponse);
     // The call has certainly not run; the ticket is as good as before.
     void notRun(uint64_t serial);
     // Nobody can say whether it ran.
     void inDoubt(uint64_t serial);
 
     size_t remembered() const { return m_slots.size(); }
-    size_t bytes() const { return m_slots.size() * sizeof(Slot) + m_answerBytes; }
+    size_t bytes() const { return m_slots.size() * sizeof(Slot) + m_responseBytes; }
 
 private:
     enum class State : unsigned char {
@@ -62,7 +62,7 @@
     struct Slot {
         State state { State::Unused };
         uint64_t fingerprint { 0 };
-        RecordedAnswer answer;
+        RecordedResponse response;
     };
 
     Slot* slotOf(uint64_t serial);
@@ -77,7 +77,7 @@
     // Serials from m_first on; the slot of serial n is m_slots[n - m_first].
     uint64_t m_first { 1 };
     std::deque<Slot> m_slots;
-    size_t m_answerBytes { 0 };
+    size_t m_responseBytes { 0 };
     uint64_t m_shrunkBefore { 1 };
 };
 
--- a/Tests/LibOnce/OnceWorld.cpp
+++ b/Tests/LibOnce/OnceWorld.cpp
@@ -147,7 +147,7 @@
     });
 }
 
-void OnceWorld::decideKey(size_t index, std::shared_ptr<Submission> const& submission, OnceKey const& key, ClaimGate::Decision const& decision)
+void OnceWorld::decideKey(size_t index, std::shared_ptr<Submission> const& submission, IdempotencyKey const& key, ClaimGate::Decision const& decision)
 {
     if (auto const* refusal = std::get_if<Refusal>(&decision)) {
         answer(submission, refusal->verdict);
@@ -177,7 +177,7 @@
     submission->call = text;
     m_submissions.push_back(submission);
     ++m_counts.calls;
-    auto const key = OnceKey::parse(text, 1).value();
+    auto const key = IdempotencyKey::parse(text, 1).value();
     if (m_options.isGuarded) {
         m_daemons[index].gate->claim(key, number, m_events.now(), [this, index, submission, key](ClaimGate::Decision const& decision) {
             decideKey(index, submission, key, decision);
--- a/Tests/LibOnce/OnceWorld.h
+++ b/Tests/LibOnce/OnceWorld.h
@@ -66,7 +66,7 @@
     void restart(size_t daemon);
     void submitKey(size_t key, int resends);
     void submitTicket(std::string const& ticket, std::string const& call, int resends);
-    void decideKey(size_t daemon, std::shared_ptr<Submission> const&, OnceKey const&, ClaimGate::Decision const&);
+    void decideKey(size_t daemon, std::shared_ptr<Submission> const&, IdempotencyKey const&, ClaimGate::Decision const&);
     void execute(size_t daemon, std::shared_ptr<Submission> const&, std::function<void(Verdict)> finished);
     void answer(std::shared_ptr<Submission> const&, Verdict);
     void append(std::string const& stream, std::string record, std::function<void(Result<Offset>)> const& callback);
--- a/Tests/LibOnce/TestOnce.cpp
+++ b/Tests/LibOnce/TestOnce.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-OnceKey keyOf(std::string const& text)
+IdempotencyKey keyOf(std::string const& text)
 {
-    return OnceKey::parse(text, 1).value();
+    return IdempotencyKey::parse(text, 1).value();
 }
 
-ClaimRecord step(ClaimRecord::Step kind, OnceKey const& key, uint64_t nonce)
+ClaimRecord step(ClaimRecord::Step kind, IdempotencyKey const& key, uint64_t nonce)
 {
     ClaimRecord record;
     record.step = kind;
     record.key = key;
     record.nonce = nonce;
     if (kind == ClaimRecord::Step::Done)
-        record.answer = { 200, "text/plain", "answer", true };
+        record.response = { 200, "text/plain", "answer", true };
     return record;
 }
 
@@ -36,10 +36,10 @@
 
 BOOST_AUTO_TEST_CASE(AKeyNeedsItsTime)
 {
-    BOOST_TEST(OnceKey::parse("1764680000-a", 1).has_value());
+    BOOST_TEST(IdempotencyKey::parse("1764680000-a", 1).has_value());
     for (auto const* wrong : { "", "abc", "1764680000", "1764680000-", "-5-a" })
-        BOOST_TEST(!OnceKey::parse(wrong, 1).has_value());
-    BOOST_TEST((keyOf("1764680000-a") != OnceKey::parse("1764680000-a", 2).value()));
+        BOOST_TEST(!IdempotencyKey::parse(wrong, 1).has_value());
+    BOOST_TEST((keyOf("1764680000-a") != IdempotencyKey::parse("1764680000-a", 2).value()));
 }
 
 BOOST_AUTO_TEST_CASE(TheFirstClaimHoldsTheKey)
@@ -52,7 +52,7 @@
     table.apply(step(Step::Done, key, 2));
     BOOST_TEST((table.find(key)->state == ClaimTable::State::Held));
     table.apply(step(Step::Done, key, 1));
-    BOOST_TEST(table.find(key)->answer.body == "answer");
+    BOOST_TEST(table.find(key)->response.body == "answer");
 }
 
 BOOST_AUTO_TEST_CASE(AnAbandonedKeyIsFreeAndALateClaimOfItVoid)
@@ -77,7 +77,7 @@
     table.apply(step(Step::Done, key, 1));
     table.shrinkTo(0);
     BOOST_TEST((table.find(key)->state == ClaimTable::State::Done));
-    BOOST_TEST(!table.find(key)->answer.isWhole);
+    BOOST_TEST(!table.find(key)->response.isComplete);
     table.forgetBefore(11);
     BOOST_TEST(table.size() == 0u);
 }
@@ -89,7 +89,7 @@
     auto const records = ClaimRecord::decode(text);
     BOOST_REQUIRE(records.has_value());
     BOOST_TEST(records->size() == 3u);
-    BOOST_TEST(records->at(1).answer.body == "answer");
+    BOOST_TEST(records->at(1).response.body == "answer");
     BOOST_TEST(rc::check("garbage in the log is no record", [](std::string const& garbage) {
         auto const decoded = ClaimRecord::decode(garbage);
         bool const isNothing = !decoded.has_value() || decoded->empty();
@@ -105,7 +105,7 @@
     BOOST_REQUIRE(std::holds_alternative<TicketBook::MayRun>(first));
     BOOST_TEST((std::get<Refusal>(book.tickets.use(ticket, book.club, 1)).verdict == Verdict::MayHaveRun));
     book.tickets.done(std::get<TicketBook::MayRun>(first).serial, { 200, "", "body", true });
-    BOOST_TEST(std::get<TicketBook::Replay>(book.tickets.use(ticket, book.club, 1)).answer.body == "body");
+    BOOST_TEST(std::get<TicketBook::Replay>(book.tickets.use(ticket, book.club, 1)).response.body == "body");
     BOOST_TEST((std::get<Refusal>(book.tickets.use(ticket, book.club, 2)).reason == RefusalReason::KeyReused));
 }
 
