--- a/Libraries/LibOnce/ClaimGate.cpp
+++ b/Libraries/LibOnce/ClaimGate.cpp
@@ -65,7 +65,7 @@
 // daemon still knows of a key goes before.
 bool ClaimGate::mayHaveLost(Shard const& shard, IdempotencyKey const& key) const
 {
-    return shard.table.returns() < shard.returns || (shard.returns && key.createdAt <= shard.table.lostUpTo());
+    return shard.table.restoreCount() < shard.returns || (shard.returns && key.createdAt <= shard.table.possibleLossUntil());
 }
 
 void ClaimGate::noteReturns(uint64_t returns)
@@ -79,11 +79,11 @@
 // Keys that were made after it can have been claimed by no record that was lost.
 void ClaimGate::tellReturn(Shard& shard)
 {
-    if (shard.isTellingReturn || shard.table.returns() >= shard.returns)
+    if (shard.isTellingReturn || shard.table.restoreCount() >= shard.returns)
         return;
     shard.isTellingReturn = true;
     ClaimRecord record;
-    record.step = ClaimRecord::Step::Return;
+    record.step = ClaimRecord::Step::LogRestored;
     record.key.createdAt = m_returnNoticedAt + clockSlack;
     record.nonce = shard.returns;
     ++m_appends;
@@ -305,7 +305,7 @@
     m_now = now;
     for (auto& [index, shard] : m_shards) {
         giveUp(shard, now);
-        shard.table.forgetBefore(m_hooks.wallSecond() - m_options.window.count() - clockSlack);
+        shard.table.evictBefore(m_hooks.wallSecond() - m_options.window.count() - clockSlack);
         bool const isWaiting = std::any_of(shard.attempts.begin(), shard.attempts.end(), [](auto const& entry) { return entry.second.isSent; });
         if (isWaiting && !shard.isAppending)
             read(shard);
--- a/Libraries/LibOnce/ClaimRecord.cpp
+++ b/Libraries/LibOnce/ClaimRecord.cpp
@@ -24,7 +24,7 @@
             writer.number(record.response.isComplete);
         }
     }
-    // The log's records are texts.
+    // Log records must be text.
     return hexOfBytes(writer.release());
 }
 
@@ -35,8 +35,8 @@
     while (!reader.failed() && !reader.finished()) {
         ClaimRecord record;
         auto const step = reader.number();
-        if (step > static_cast<uint64_t>(Step::Return))
-            return Error(ErrorCode::Malformed, "a step of a claim that is not known");
+        if (step > static_cast<uint64_t>(Step::LogRestored))
+            return Error(ErrorCode::Malformed, "unknown step " + std::to_string(step) + " in a claim record");
         record.step = static_cast<Step>(step);
         record.key.high = reader.number();
         record.key.low = reader.number();
@@ -53,7 +53,7 @@
         records.push_back(std::move(record));
     }
     if (reader.failed())
-        return Error(ErrorCode::Malformed, "a record of claims is not understood");
+        return Error(ErrorCode::Malformed, "truncated or damaged claim record");
     return records;
 }
 
--- a/Libraries/LibOnce/ClaimRecord.h
+++ b/Libraries/LibOnce/ClaimRecord.h
@@ -9,34 +9,34 @@
 
 namespace Stagepost {
 
-// One step of one key, as it stands in the log. The nonce tells one attempt from
-// every other, also from those of other daemons and of earlier starts.
+// A state transition of an idempotency key, as recorded in the log. The nonce identifies
+// the attempt uniquely, across daemons and across restarts.
 struct ClaimRecord {
     enum class Step : uint8_t {
-        // The attempt wants to run the call.
+        // The attempt asks to run the call.
         Claim,
-        // The attempt has run it.
+        // The attempt has run the call.
         Done,
-        // The attempt has not run it and never will.
+        // The attempt has not run the call and never will.
         Abandon,
-        // The log has come back from a copy; in a record of its own, which daemons that do not
-        // know this step pass over.
-        Return,
+        // The log was restored from a backup. This step is always encoded alone, because a
+        // daemon that doesn't know it skips the whole log record.
+        LogRestored,
     };
 
     Step step { Step::Claim };
+    // For LogRestored, only createdAt is set: claims of keys created up to then may be lost.
     IdempotencyKey key;
+    // For LogRestored, the number of restores so far.
     uint64_t nonce { 0 };
-    // For Return, the key's time is the second up to which claims may have been lost, and the
-    // nonce says which return it was.
-    // For Claim: the hash of the request, so that a key is not used for two.
+    // For Claim: the hash of the request, to detect that a key is reused for another one.
     uint64_t fingerprint { 0 };
     // For Done.
     RecordedResponse response;
 
-    // Many steps share one record of the log, whose appends are limited.
+    // Batches several steps into one log record, because the rate of appends is limited.
     static std::string encode(std::vector<ClaimRecord> const&);
-    // Error: Malformed; the whole record is then passed over by every reader.
+    // Error: Malformed. Every reader then skips the whole log record.
     static Result<std::vector<ClaimRecord>> decode(std::string_view);
 };
 
--- a/Libraries/LibOnce/ClaimTable.cpp
+++ b/Libraries/LibOnce/ClaimTable.cpp
@@ -14,7 +14,7 @@
             return;
         if (found == m_entries.end()) {
             m_entries.emplace(record.key, Entry { State::Held, record.nonce, record.fingerprint, {} });
-            m_byTime.emplace(record.key.createdAt, record.key);
+            m_keysByCreationTime.emplace(record.key.createdAt, record.key);
         } else if (found->second.state == State::Free) {
             found->second = { State::Held, record.nonce, record.fingerprint, {} };
         }
@@ -27,14 +27,14 @@
         m_responseBytes += record.response.bytes();
         return;
     case ClaimRecord::Step::Abandon:
-        // A claim that is still under way to the log must not hold the key later.
+        // The attempt's claim may still be in flight and must not take the key when it arrives.
         m_abandoned.emplace(record.nonce, record.key.createdAt);
         if (isHeldByThis)
             found->second.state = State::Free;
         return;
-    case ClaimRecord::Step::Return:
-        m_returns = std::max(m_returns, record.nonce);
-        m_lostUpTo = std::max(m_lostUpTo, record.key.createdAt);
+    case ClaimRecord::Step::LogRestored:
+        m_restoreCount = std::max(m_restoreCount, record.nonce);
+        m_possibleLossUntil = std::max(m_possibleLossUntil, record.key.createdAt);
         return;
     }
 }
@@ -45,23 +45,23 @@
     return found == m_entries.end() || found->second.state == State::Free ? nullptr : &found->second;
 }
 
-void ClaimTable::forgetBefore(int64_t second)
+void ClaimTable::evictBefore(int64_t second)
 {
-    auto const end = m_byTime.lower_bound(second);
-    for (auto entry = m_byTime.begin(); entry != end; ++entry) {
+    auto const end = m_keysByCreationTime.lower_bound(second);
+    for (auto entry = m_keysByCreationTime.begin(); entry != end; ++entry) {
         auto const found = m_entries.find(entry->second);
         if (found->second.state == State::Done)
             m_responseBytes -= found->second.response.bytes();
         m_entries.erase(found);
     }
-    m_byTime.erase(m_byTime.begin(), end);
+    m_keysByCreationTime.erase(m_keysByCreationTime.begin(), end);
     std::erase_if(m_abandoned, [&](auto const& entry) { return entry.second < second; });
 }
 
-void ClaimTable::shrinkTo(size_t most)
+void ClaimTable::shrinkTo(size_t maxBytes)
 {
-    for (auto const& [second, key] : m_byTime) {
-        if (bytes() <= most)
+    for (auto const& [createdAt, key] : m_keysByCreationTime) {
+        if (bytes() <= maxBytes)
             return;
         auto& entry = m_entries.at(key);
         if (entry.state != State::Done || entry.response.body.empty())
@@ -75,7 +75,7 @@
 
 size_t ClaimTable::bytes() const
 {
-    return m_entries.size() * entryBytes + m_responseBytes + m_abandoned.size() * sizeof(std::pair<uint64_t, int64_t>) * 3;
+    return m_entries.size() * estimatedEntryBytes + m_responseBytes + m_abandoned.size() * sizeof(std::pair<uint64_t, int64_t>) * 3;
 }
 
 }
--- a/Libraries/LibOnce/ClaimTable.h
+++ b/Libraries/LibOnce/ClaimTable.h
@@ -9,9 +9,9 @@
 
 namespace Stagepost {
 
-// The state of every key, folded from the log in offset order. All readers of
-// the same records come to the same state: the first claim of a free key holds
-// it, and it is free again only if its holder says that it never ran.
+// The state of every key, built by applying the log's records in offset order. It is
+// deterministic, so all readers of the same records agree: the first claim of a free key
+// holds the key, and only an Abandon by the holder, whose call never ran, frees it again.
 class ClaimTable {
 public:
     enum class State {
@@ -27,34 +27,35 @@
     };
 
     void apply(ClaimRecord const&);
-    // Null for a key that nobody has claimed.
+    // Null for a key that is free.
     Entry const* find(IdempotencyKey const&) const;
 
-    // Forgets keys that were made before the second; they are out of the window.
-    void forgetBefore(int64_t second);
-    // Drops the bodies of answers, the oldest keys' first, until the table fits.
-    void shrinkTo(size_t bytes);
+    // Evicts keys that were created before this Unix time, since their window has passed.
+    void evictBefore(int64_t second);
+    // Drops response bodies, those of the oldest keys first, until the table fits. Keys are
+    // never dropped for space.
+    void shrinkTo(size_t maxBytes);
 
-    // The last return of the log that its records tell of, and up to which second keys may
-    // have been claimed by records that were lost.
-    uint64_t returns() const { return m_returns; }
-    int64_t lostUpTo() const { return m_lostUpTo; }
+    // The highest number of log restores that the records report.
+    uint64_t restoreCount() const { return m_restoreCount; }
+    // Claims of keys created up to this Unix time may have been lost in a restore of the log.
+    int64_t possibleLossUntil() const { return m_possibleLossUntil; }
 
     size_t size() const { return m_entries.size(); }
-    // What the table takes, by the sizes of its parts.
+    // The estimated memory use.
     size_t bytes() const;
 
 private:
-    // A table entry with its place in two containers, besides the response.
-    static constexpr size_t entryBytes = 192;
+    // An entry with its nodes in both containers, without the response.
+    static constexpr size_t estimatedEntryBytes = 192;
 
     std::unordered_map<IdempotencyKey, Entry> m_entries;
-    std::multimap<int64_t, IdempotencyKey> m_byTime;
-    // Attempts that gave up before their claim reached the log.
+    std::multimap<int64_t, IdempotencyKey> m_keysByCreationTime;
+    // The nonces of abandoned attempts, with the creation times of their keys.
     std::map<uint64_t, int64_t> m_abandoned;
     size_t m_responseBytes { 0 };
-    uint64_t m_returns { 0 };
-    int64_t m_lostUpTo { 0 };
+    uint64_t m_restoreCount { 0 };
+    int64_t m_possibleLossUntil { 0 };
 };
 
 }
--- a/Tests/LibOnce/TestOnce.cpp
+++ b/Tests/LibOnce/TestOnce.cpp
@@ -78,7 +78,7 @@
     table.shrinkTo(0);
     BOOST_TEST((table.find(key)->state == ClaimTable::State::Done));
     BOOST_TEST(!table.find(key)->response.isComplete);
-    table.forgetBefore(11);
+    table.evictBefore(11);
     BOOST_TEST(table.size() == 0u);
 }
 
