--- a/Libraries/LibOnce/ClaimGate.cpp
+++ b/Libraries/LibOnce/ClaimGate.cpp
@@ -6,20 +6,21 @@
 
 namespace {
 
-    constexpr size_t mostPerAppend = 500;
-    // How far callers' clocks may be ahead of a daemon's.
-    constexpr int64_t clockSlack = 60;
-    constexpr Milliseconds retrySoon { 1000 };
-    // A fence is a return of the log above an offset: offsets go back, fences must not.
-    constexpr unsigned returnsShift = 48;
+    constexpr size_t maxRecordsPerAppend = 500;
+    // How far the clocks of callers may be ahead of a daemon's.
+    constexpr int64_t maxClockSkewSeconds = 60;
+    constexpr Milliseconds retryDelay { 1000 };
+    // A fence has the restore count in its upper bits and the offset below, because a
+    // restore of the log moves offsets back and fences must keep increasing.
+    constexpr unsigned restoreCountShift = 48;
 
-    Refusal const tooOld { RefusalReason::KeyOutOfWindow, Verdict::MayHaveRun, "the key is older than what is remembered", {} };
-    Refusal const lost { RefusalReason::KeyOutOfWindow, Verdict::MayHaveRun, "the log came back from a copy and may have lost what the key did", {} };
-    Refusal const fromTheFuture { RefusalReason::KeyOutOfWindow, Verdict::NotRun, "the key's time is in the future", {} };
+    Refusal const keyExpired { RefusalReason::KeyOutOfWindow, Verdict::MayHaveRun, "the key is older than the claim window", {} };
+    Refusal const claimMayBeLost { RefusalReason::KeyOutOfWindow, Verdict::MayHaveRun, "the log was restored from a backup and may have lost an earlier claim of the key", {} };
+    Refusal const keyInFuture { RefusalReason::KeyOutOfWindow, Verdict::NotRun, "the key's creation time is in the future", {} };
 
     Refusal notRun(RefusalReason reason, char const* detail)
     {
-        return { reason, Verdict::NotRun, detail, retrySoon };
+        return { reason, Verdict::NotRun, detail, retryDelay };
     }
 
 }
@@ -55,80 +56,82 @@
 
 Refusal const* ClaimGate::checkWindow(IdempotencyKey const& key) const
 {
-    auto const now = m_hooks.wallSecond();
+    auto const now = m_hooks.wallClockSeconds();
     if (key.createdAt < now - m_options.window.count())
-        return &tooOld;
-    return key.createdAt > now + clockSlack ? &fromTheFuture : nullptr;
+        return &keyExpired;
+    return key.createdAt > now + maxClockSkewSeconds ? &keyInFuture : nullptr;
 }
 
-// A claim that was lost may have run: without this its key would be free again. What this
-// daemon still knows of a key goes before.
-bool ClaimGate::mayHaveLost(Shard const& shard, IdempotencyKey const& key) const
+// Whether an earlier claim of the key may have been lost in a restore of the log. The lost
+// claim's call may have run, so the key must not count as free. An entry that this daemon
+// still has in its table takes precedence.
+bool ClaimGate::mayHaveLostClaim(Shard const& shard, IdempotencyKey const& key) const
 {
-    return shard.table.restoreCount() < shard.returns || (shard.returns && key.createdAt <= shard.table.possibleLossUntil());
+    return shard.table.restoreCount() < shard.restoreCount || (shard.restoreCount && key.createdAt <= shard.table.possibleLossUntil());
 }
 
-void ClaimGate::noteReturns(uint64_t returns)
+void ClaimGate::noteRestores(uint64_t restoreCount)
 {
-    if (returns <= m_returns)
+    if (restoreCount <= m_restoreCount)
         return;
-    m_returns = returns;
-    m_returnNoticedAt = m_hooks.wallSecond();
+    m_restoreCount = restoreCount;
+    m_restoreNoticedAt = m_hooks.wallClockSeconds();
 }
 
-// Keys that were made after it can have been claimed by no record that was lost.
-void ClaimGate::tellReturn(Shard& shard)
+// Tells all readers of the stream up to which creation time claims may have been lost. Keys
+// that are created after the restore was noticed cannot have a claim among the lost records.
+void ClaimGate::appendRestoreRecord(Shard& shard)
 {
-    if (shard.isTellingReturn || shard.table.restoreCount() >= shard.returns)
+    if (shard.isAppendingRestoreRecord || shard.table.restoreCount() >= shard.restoreCount)
         return;
-    shard.isTellingReturn = true;
+    shard.isAppendingRestoreRecord = true;
     ClaimRecord record;
     record.step = ClaimRecord::Step::LogRestored;
-    record.key.createdAt = m_returnNoticedAt + clockSlack;
-    record.nonce = shard.returns;
+    record.key.createdAt = m_restoreNoticedAt + maxClockSkewSeconds;
+    record.nonce = shard.restoreCount;
     ++m_appends;
     m_hooks.append(shard.stream, ClaimRecord::encode({ record }), [this, &shard](Result<Offset> const&) {
-        shard.isTellingReturn = false;
+        shard.isAppendingRestoreRecord = false;
         read(shard);
     });
 }
 
-// What the log as read so far says about a key, or none when it is free or held
-// by this very attempt.
+// The decision that follows from the log as read so far, or nothing if the key is free or
+// held by this attempt.
 std::optional<ClaimGate::Decision> ClaimGate::knownDecision(Shard const& shard, IdempotencyKey const& key, uint64_t fingerprint, uint64_t ownNonce) const
 {
     auto const* entry = shard.table.find(key);
     if (!entry || entry->nonce == ownNonce)
-        return mayHaveLost(shard, key) ? std::optional<Decision>(lost) : std::nullopt;
+        return mayHaveLostClaim(shard, key) ? std::optional<Decision>(claimMayBeLost) : std::nullopt;
     if (entry->fingerprint != fingerprint)
         return Refusal { RefusalReason::KeyReused, Verdict::NotRun, "the key was used for another request", {} };
     if (entry->state == ClaimTable::State::Done && entry->response.isComplete)
         return Replay { entry->response };
     if (entry->state == ClaimTable::State::Done)
         return Refusal { RefusalReason::KeyInProgress, Verdict::Ran, "the call has run; its response is not kept", {} };
-    return Refusal { RefusalReason::KeyInProgress, Verdict::MayHaveRun, "another attempt with this key holds it", retrySoon };
+    return Refusal { RefusalReason::KeyInProgress, Verdict::MayHaveRun, "another attempt with this key holds it", retryDelay };
 }
 
-void ClaimGate::claim(IdempotencyKey const& key, uint64_t fingerprint, Instant now, Decided decided)
+void ClaimGate::claim(IdempotencyKey const& key, uint64_t fingerprint, Instant now, DecisionCallback callback)
 {
     m_now = now;
     if (auto const* refusal = checkWindow(key)) {
-        decided(*refusal);
+        callback(*refusal);
         return;
     }
     auto& shard = shardFor(key);
-    // An early look saves an append; only the log itself can say yes.
+    // Refusals and replays known already need no append. Permission to run always needs one.
     if (auto const known = knownDecision(shard, key, fingerprint, 0)) {
-        decided(*known);
+        callback(*known);
         return;
     }
     if (bytes() > m_options.memoryBytes)
         shard.table.shrinkTo(m_options.memoryBytes / shardCount);
     if (bytes() > m_options.memoryBytes) {
-        decided(notRun(RefusalReason::OnceMemoryFull, "as many keys are remembered as fit"));
+        callback(notRun(RefusalReason::OnceMemoryFull, "the memory for idempotency keys is full"));
         return;
     }
-    Attempt attempt { key, m_hooks.random() | 1, fingerprint, std::move(decided), now + m_options.queueTime, false };
+    Attempt attempt { key, m_hooks.random() | 1, fingerprint, std::move(callback), now + m_options.queueTimeout, false };
     ClaimRecord record;
     record.key = key;
     record.nonce = attempt.nonce;
@@ -146,7 +149,7 @@
     record.nonce = nonce;
     record.response = std::move(response);
     auto& shard = shardFor(key);
-    // Resends through this daemon get the response at once; the log tells the others.
+    // Retries at this daemon get the response immediately, those at others once it is in the log.
     shard.table.apply(record);
     shard.outgoing.push_back(std::move(record));
     flush(shard, now);
@@ -168,24 +171,24 @@
     m_now = now;
     if (shard.isAppending || shard.outgoing.empty() || !shard.limiter.tryAcquire(now))
         return;
-    auto const count = std::min(shard.outgoing.size(), mostPerAppend);
+    auto const count = std::min(shard.outgoing.size(), maxRecordsPerAppend);
     std::vector<ClaimRecord> batch(shard.outgoing.begin(), shard.outgoing.begin() + static_cast<std::ptrdiff_t>(count));
     shard.outgoing.erase(shard.outgoing.begin(), shard.outgoing.begin() + static_cast<std::ptrdiff_t>(count));
     for (auto const& record : batch) {
         if (auto const attempt = shard.attempts.find(record.nonce); attempt != shard.attempts.end()) {
             attempt->second.isSent = true;
-            attempt->second.giveUpAt = now + m_options.settleTime;
+            attempt->second.expiresAt = now + m_options.visibilityTimeout;
         }
     }
     shard.isAppending = true;
     ++m_appends;
     auto text = ClaimRecord::encode(batch);
     m_hooks.append(shard.stream, std::move(text), [this, &shard, batch = std::move(batch)](Result<Offset> const& result) {
-        appended(shard, batch, result, m_now);
+        handleAppendResult(shard, batch, result, m_now);
     });
 }
 
-void ClaimGate::appended(Shard& shard, std::vector<ClaimRecord> const& batch, Result<Offset> const& result, Instant now)
+void ClaimGate::handleAppendResult(Shard& shard, std::vector<ClaimRecord> const& batch, Result<Offset> const& result, Instant now)
 {
     shard.isAppending = false;
     if (result) {
@@ -197,49 +200,49 @@
     bool const isCertain = result.error().code == make_error_code(ErrorCode::Unreachable) || result.error().code == make_error_code(ErrorCode::LimitReached);
     for (auto const& record : batch) {
         if (record.step != ClaimRecord::Step::Claim) {
-            // Appending these twice does no harm, losing them would.
+            // Done and Abandon are idempotent, so they are retried until they are appended.
             shard.outgoing.push_back(record);
             continue;
         }
         auto const attempt = shard.attempts.find(record.nonce);
         if (!isCertain || attempt == shard.attempts.end())
             continue;
-        auto const decided = std::move(attempt->second.decided);
+        auto const callback = std::move(attempt->second.callback);
         shard.attempts.erase(attempt);
-        decided(notRun(RefusalReason::LogDown, "the log takes no claim now; a ticket needs no log"));
+        callback(notRun(RefusalReason::LogDown, "the log does not accept claims at the moment; tickets do not need the log"));
     }
-    // A lost reply is settled by reading, never by guessing.
+    // The batch may have been appended all the same; only reading the log can tell.
     if (!isCertain)
         read(shard);
 }
 
 void ClaimGate::read(Shard& shard)
 {
-    shard.wantsRead = true;
+    shard.isReadRequested = true;
     if (shard.isReading)
         return;
     shard.isReading = true;
-    shard.wantsRead = false;
+    shard.isReadRequested = false;
     m_hooks.read(shard.stream, shard.position, [this, &shard](Result<ReadResult> const& result) {
-        takeRead(shard, result);
+        handleReadResult(shard, result);
     });
 }
 
-void ClaimGate::takeRead(Shard& shard, Result<ReadResult> const& result)
+void ClaimGate::handleReadResult(Shard& shard, Result<ReadResult> const& result)
 {
     shard.isReading = false;
     if (!result)
         return;
-    if (result->returns < shard.returns)
+    if (result->restoreCount < shard.restoreCount)
         return;
-    if (result->returns > shard.returns) {
-        noteReturns(result->returns);
-        shard.returns = result->returns;
+    if (result->restoreCount > shard.restoreCount) {
+        noteRestores(result->restoreCount);
+        shard.restoreCount = result->restoreCount;
         shard.position = Offset(0);
         read(shard);
         return;
     }
-    // What the log has forgotten is out of every window.
+    // Records that the log no longer retains belong to keys whose window has passed.
     shard.position = std::max(shard.position, result->first);
     for (auto const& [offset, text] : result->records) {
         if (offset != shard.position)
@@ -251,18 +254,17 @@
         for (auto const& record : *records) {
             shard.table.apply(record);
             if (record.step == ClaimRecord::Step::Claim)
-                settleSeen(shard, record, offset);
+                decideAttempt(shard, record, offset);
         }
     }
-    if (shard.position < result->next || shard.wantsRead)
+    if (shard.position < result->next || shard.isReadRequested)
         read(shard);
     else
-        tellReturn(shard);
+        appendRestoreRecord(shard);
 }
 
-// An attempt is decided at the very record that brought its claim, by all that
-// stands before it.
-void ClaimGate::settleSeen(Shard& shard, ClaimRecord const& record, Offset offset)
+// Decides an attempt when its own claim is read, by the state of the key at that offset.
+void ClaimGate::decideAttempt(Shard& shard, ClaimRecord const& record, Offset offset)
 {
     auto const found = shard.attempts.find(record.nonce);
     if (found == shard.attempts.end())
@@ -270,33 +272,33 @@
     auto const attempt = std::move(found->second);
     shard.attempts.erase(found);
     if (auto const known = knownDecision(shard, attempt.key, attempt.fingerprint, attempt.nonce)) {
-        if (mayHaveLost(shard, attempt.key))
+        if (mayHaveLostClaim(shard, attempt.key))
             abandon(attempt.key, attempt.nonce, m_now);
-        attempt.decided(*known);
+        attempt.callback(*known);
         return;
     }
-    attempt.decided(MayRun { attempt.nonce, shard.returns << returnsShift | (offset.value() + 1) });
+    attempt.callback(MayRun { attempt.nonce, shard.restoreCount << restoreCountShift | (offset.value() + 1) });
 }
 
-// An attempt that is given up is forgotten here, so that its claim, should it
-// show up later, is never run; saying so in the log frees the key for others.
-void ClaimGate::giveUp(Shard& shard, Instant now)
+// Removes expired attempts, so that their calls never run even if their claims appear in
+// the log later. An Abandon record frees the key for other attempts.
+void ClaimGate::expireAttempts(Shard& shard, Instant now)
 {
-    std::vector<Attempt> late;
+    std::vector<Attempt> expired;
     for (auto entry = shard.attempts.begin(); entry != shard.attempts.end();) {
-        if (now < entry->second.giveUpAt) {
+        if (now < entry->second.expiresAt) {
             ++entry;
             continue;
         }
-        late.push_back(std::move(entry->second));
+        expired.push_back(std::move(entry->second));
         entry = shard.attempts.erase(entry);
     }
-    for (auto const& attempt : late) {
+    for (auto const& attempt : expired) {
         std::erase_if(shard.outgoing, [&](auto const& record) { return record.nonce == attempt.nonce; });
         if (attempt.isSent)
             abandon(attempt.key, attempt.nonce, now);
         auto const reason = attempt.isSent ? RefusalReason::ClaimUnsettled : RefusalReason::LogDown;
-        attempt.decided(notRun(reason, "the log did not show the claim in time"));
+        attempt.callback(notRun(reason, "the claim did not appear in the log in time"));
     }
 }
 
@@ -304,8 +306,8 @@
 {
     m_now = now;
     for (auto& [index, shard] : m_shards) {
-        giveUp(shard, now);
-        shard.table.evictBefore(m_hooks.wallSecond() - m_options.window.count() - clockSlack);
+        expireAttempts(shard, now);
+        shard.table.evictBefore(m_hooks.wallClockSeconds() - m_options.window.count() - maxClockSkewSeconds);
         bool const isWaiting = std::any_of(shard.attempts.begin(), shard.attempts.end(), [](auto const& entry) { return entry.second.isSent; });
         if (isWaiting && !shard.isAppending)
             read(shard);
--- a/Libraries/LibOnce/ClaimGate.h
+++ b/Libraries/LibOnce/ClaimGate.h
@@ -15,22 +15,27 @@
 namespace Stagepost {
 
 struct ClaimGateOptions {
-    // For each stream.
+    // The limit for each shard's stream.
     double appendsPerSecond { 5 };
+    // How long a key is valid after its creation.
     Seconds window { 3600 };
+    // The limit for the claim tables of all shards together.
     size_t memoryBytes { 4 << 20 };
-    // For an append whose reply was lost to show up in the log.
-    Microseconds settleTime { 2000000 };
-    // For a claim to wait for its turn to be appended.
-    Microseconds queueTime { 5000000 };
+    // How long a claim may take to become visible in the log after its append was sent. It
+    // also covers appends whose reply is lost.
+    Microseconds visibilityTimeout { 2000000 };
+    // How long a claim may be queued before its append is sent.
+    Microseconds queueTimeout { 5000000 };
 };
 
-// Lets a call run only when its claim is the first of its key in the log. What
-// the log says decides, whoever is paused, late or mistaken about anything else.
+// Lets a call run only if its claim is the first for its key in the log. The order of the
+// log alone decides, so the result is correct even if daemons are paused, delayed or act on
+// outdated state.
 class ClaimGate {
 public:
-    // The call may run now, and nobody else ever runs it. The fence orders it
-    // after every earlier holder of anything that is fenced.
+    // The call may run now; no other attempt with its key ever may, unless this one abandons
+    // it. The fence is a fencing token: it is higher than those of all earlier holders of
+    // keys in the same shard.
     struct MayRun {
         uint64_t nonce { 0 };
         uint64_t fence { 0 };
@@ -39,23 +44,23 @@
         RecordedResponse response;
     };
     using Decision = std::variant<MayRun, Replay, Refusal>;
-    using Decided = std::function<void(Decision const&)>;
+    using DecisionCallback = std::function<void(Decision const&)>;
 
     struct ReadResult {
         Offset first;
         Offset next;
         std::vector<std::pair<Offset, std::string>> records;
-        // How often the log has come back from a copy.
-        uint64_t returns { 0 };
+        // How often the log has been restored from a backup.
+        uint64_t restoreCount { 0 };
     };
     struct Hooks {
-        // Appends to a stream. Errors: Unreachable or LimitReached where it was
-        // certainly not appended; with any other error it may have been, or may be later.
+        // Appends to a stream. Unreachable and LimitReached mean that the record was certainly
+        // not appended; after any other error it may have been, or may still be.
         std::function<void(std::string const& stream, std::string record, std::function<void(Result<Offset>)>)> append;
         std::function<void(std::string const& stream, Offset from, std::function<void(Result<ReadResult>)>)> read;
         RandomHook random;
-        // The second, as callers' clocks count it.
-        std::function<int64_t()> wallSecond;
+        // The current Unix time, to compare with the creation times of callers' keys.
+        std::function<int64_t()> wallClockSeconds;
     };
 
     ClaimGate(ClaimGateOptions, Hooks);
@@ -64,19 +69,20 @@
 
     void setOptions(ClaimGateOptions const&);
 
-    // The streams of the log that claims are spread over. Every daemon has to look
-    // for a key's claims in the same stream, so this never changes.
+    // The number of log streams over which claims are sharded. It must never change: every
+    // daemon, of any version, has to look for a key's claims in the same stream.
     static constexpr size_t shardCount = 32;
 
-    // Which shard a key belongs to; one daemon is asked for each shard, so that
-    // only it has to know the shard's keys. Any other may do it as well, safely.
+    // The shard of a key. Requests of a shard are routed to one daemon, so that only that
+    // daemon needs the shard's keys in memory. It is safe for any other to handle them too.
     static size_t shardOf(IdempotencyKey const&);
 
-    // Calls back once, now or later.
-    void claim(IdempotencyKey const&, uint64_t fingerprint, Instant now, Decided);
-    // The call has run; its response is recorded.
+    // Decides whether the call may run. Invokes the callback exactly once, possibly before
+    // claim() returns.
+    void claim(IdempotencyKey const&, uint64_t fingerprint, Instant now, DecisionCallback);
+    // The call has run: records its response for retries.
     void done(IdempotencyKey const&, uint64_t nonce, RecordedResponse, Instant now);
-    // The call has certainly not run, so its key is free again.
+    // The call has certainly not run: frees its key.
     void abandon(IdempotencyKey const&, uint64_t nonce, Instant now);
 
     void tick(Instant now);
@@ -90,10 +96,10 @@
         IdempotencyKey key;
         uint64_t nonce { 0 };
         uint64_t fingerprint { 0 };
-        Decided decided;
-        // Until when it may wait to be appended, then to show up in the log.
-        Instant giveUpAt;
-        // The record is on its way, or may be.
+        DecisionCallback callback;
+        // The end of the queue timeout, then of the visibility timeout.
+        Instant expiresAt;
+        // Whether the append of the claim was sent; the claim may then be in the log.
         bool isSent { false };
     };
     struct Shard {
@@ -105,32 +111,31 @@
         AppendRateLimiter limiter { 1 };
         bool isAppending { false };
         bool isReading { false };
-        bool wantsRead { false };
-        uint64_t returns { 0 };
-        bool isTellingReturn { false };
+        bool isReadRequested { false };
+        uint64_t restoreCount { 0 };
+        bool isAppendingRestoreRecord { false };
     };
 
     Shard& shardFor(IdempotencyKey const&);
     std::optional<Decision> knownDecision(Shard const&, IdempotencyKey const&, uint64_t fingerprint, uint64_t ownNonce) const;
     void flush(Shard&, Instant now);
-    void appended(Shard&, std::vector<ClaimRecord> const& batch, Result<Offset> const&, Instant now);
+    void handleAppendResult(Shard&, std::vector<ClaimRecord> const& batch, Result<Offset> const&, Instant now);
     void read(Shard&);
-    void takeRead(Shard&, Result<ReadResult> const&);
-    void settleSeen(Shard&, ClaimRecord const&, Offset);
-    bool mayHaveLost(Shard const&, IdempotencyKey const&) const;
-    // The log was seen to have come back from a copy so often.
-    void noteReturns(uint64_t returns);
-    void tellReturn(Shard&);
-    void giveUp(Shard&, Instant now);
+    void handleReadResult(Shard&, Result<ReadResult> const&);
+    void decideAttempt(Shard&, ClaimRecord const&, Offset);
+    bool mayHaveLostClaim(Shard const&, IdempotencyKey const&) const;
+    void noteRestores(uint64_t restoreCount);
+    void appendRestoreRecord(Shard&);
+    void expireAttempts(Shard&, Instant now);
     Refusal const* checkWindow(IdempotencyKey const&) const;
 
     ClaimGateOptions m_options;
     Hooks m_hooks;
     std::map<size_t, Shard> m_shards;
     Instant m_now;
-    // When the last return was noticed, and which it was.
-    uint64_t m_returns { 0 };
-    int64_t m_returnNoticedAt { 0 };
+    uint64_t m_restoreCount { 0 };
+    // The Unix time at which this gate noticed the latest restore.
+    int64_t m_restoreNoticedAt { 0 };
     uint64_t m_appends { 0 };
 };
 
