--- a/Libraries/LibOnce/Forward.h
+++ b/Libraries/LibOnce/Forward.h
@@ -5,7 +5,7 @@
 class AppendRateLimiter;
 class ClaimGate;
 class ClaimTable;
-class TicketBook;
+class TicketRegistry;
 struct ClaimRecord;
 struct IdempotencyKey;
 struct RecordedResponse;
--- a/Libraries/LibOnce/Once.h
+++ b/Libraries/LibOnce/Once.h
@@ -10,4 +10,4 @@
 #include <LibOnce/ClaimTable.h>
 #include <LibOnce/IdempotencyKey.h>
 #include <LibOnce/RecordedResponse.h>
-#include <LibOnce/TicketBook.h>
+#include <LibOnce/TicketRegistry.h>
--- a/Tests/LibOnce/OnceWorld.cpp
+++ b/Tests/LibOnce/OnceWorld.cpp
@@ -57,7 +57,7 @@
     gateOptions.appendsPerSecond = 20;
     daemon.gate = std::make_unique<ClaimGate>(gateOptions, std::move(hooks));
     daemon.authenticator = std::make_unique<Authenticator>("key", VMId(index + 1), Incarnation(life));
-    daemon.tickets = std::make_unique<TicketBook>(*daemon.authenticator, VMId(index + 1), Incarnation(life), 100000, 1 << 20);
+    daemon.tickets = std::make_unique<TicketRegistry>(*daemon.authenticator, VMId(index + 1), Incarnation(life), 100000, 1 << 20);
 }
 
 void OnceWorld::append(std::string const& stream, std::string record, std::function<void(Result<Offset>)> const& callback)
@@ -205,12 +205,12 @@
     ++m_counts.calls;
     // Whichever daemon it comes to, it ends at the holder or at none.
     size_t index = 0;
-    auto decision = m_daemons[0].tickets->use(ticket, OrganisationId(1), 1);
-    if (auto const* elsewhere = std::get_if<TicketBook::HeldElsewhere>(&decision)) {
+    auto decision = m_daemons[0].tickets->redeem(ticket, OrganisationId(1), 1);
+    if (auto const* elsewhere = std::get_if<TicketRegistry::HeldElsewhere>(&decision)) {
         index = elsewhere->holder.value() - 1;
-        decision = m_daemons[index].tickets->use(ticket, OrganisationId(1), 1);
+        decision = m_daemons[index].tickets->redeem(ticket, OrganisationId(1), 1);
     }
-    if (auto const* granted = std::get_if<TicketBook::MayRun>(&decision); granted || !m_options.isGuarded) {
+    if (auto const* granted = std::get_if<TicketRegistry::MayRun>(&decision); granted || !m_options.isGuarded) {
         auto const serial = granted ? granted->serial : 0;
         execute(index, submission, [this, index, submission, serial](Verdict verdict) {
             auto& tickets = *m_daemons[index].tickets;
@@ -222,7 +222,7 @@
                 tickets.inDoubt(serial);
             answer(submission, verdict);
         });
-    } else if (std::holds_alternative<TicketBook::Replay>(decision)) {
+    } else if (std::holds_alternative<TicketRegistry::Replay>(decision)) {
         ++m_counts.replayed;
         answer(submission, Verdict::Ran);
     } else {
--- a/Tests/LibOnce/OnceWorld.h
+++ b/Tests/LibOnce/OnceWorld.h
@@ -50,7 +50,7 @@
         uint64_t life { 0 };
         std::unique_ptr<ClaimGate> gate;
         std::unique_ptr<Authenticator> authenticator;
-        std::unique_ptr<TicketBook> tickets;
+        std::unique_ptr<TicketRegistry> tickets;
     };
     // One sending of one call.
     struct Submission {
--- a/Tests/LibOnce/TestOnce.cpp
+++ b/Tests/LibOnce/TestOnce.cpp
@@ -26,7 +26,7 @@
 
 struct Book {
     Authenticator authenticator { "key", VMId(1), Incarnation(5) };
-    TicketBook tickets { authenticator, VMId(1), Incarnation(5), 4, 100 };
+    TicketRegistry tickets { authenticator, VMId(1), Incarnation(5), 4, 100 };
     OrganisationId club { 7 };
 };
 
@@ -101,30 +101,30 @@
 {
     Book book;
     auto const ticket = book.tickets.issue(book.club, 1).front();
-    auto const first = book.tickets.use(ticket, book.club, 1);
-    BOOST_REQUIRE(std::holds_alternative<TicketBook::MayRun>(first));
-    BOOST_TEST((std::get<Refusal>(book.tickets.use(ticket, book.club, 1)).verdict == Verdict::MayHaveRun));
-    book.tickets.done(std::get<TicketBook::MayRun>(first).serial, { 200, "", "body", true });
-    BOOST_TEST(std::get<TicketBook::Replay>(book.tickets.use(ticket, book.club, 1)).response.body == "body");
-    BOOST_TEST((std::get<Refusal>(book.tickets.use(ticket, book.club, 2)).reason == RefusalReason::KeyReused));
+    auto const first = book.tickets.redeem(ticket, book.club, 1);
+    BOOST_REQUIRE(std::holds_alternative<TicketRegistry::MayRun>(first));
+    BOOST_TEST((std::get<Refusal>(book.tickets.redeem(ticket, book.club, 1)).verdict == Verdict::MayHaveRun));
+    book.tickets.done(std::get<TicketRegistry::MayRun>(first).serial, { 200, "", "body", true });
+    BOOST_TEST(std::get<TicketRegistry::Replay>(book.tickets.redeem(ticket, book.club, 1)).response.body == "body");
+    BOOST_TEST((std::get<Refusal>(book.tickets.redeem(ticket, book.club, 2)).reason == RefusalReason::KeyReused));
 }
 
 BOOST_AUTO_TEST_CASE(ForeignAndDamagedTicketsAreInvalid)
 {
     Book book;
     auto ticket = book.tickets.issue(book.club, 1).front();
-    BOOST_TEST((std::get<Refusal>(book.tickets.use(ticket, OrganisationId(8), 1)).reason == RefusalReason::TicketInvalid));
+    BOOST_TEST((std::get<Refusal>(book.tickets.redeem(ticket, OrganisationId(8), 1)).reason == RefusalReason::TicketInvalid));
     ticket[40] = ticket[40] == '0' ? '1' : '0';
-    BOOST_TEST((std::get<Refusal>(book.tickets.use(ticket, book.club, 1)).reason == RefusalReason::TicketInvalid));
-    BOOST_TEST((std::get<Refusal>(book.tickets.use("short", book.club, 1)).reason == RefusalReason::TicketInvalid));
+    BOOST_TEST((std::get<Refusal>(book.tickets.redeem(ticket, book.club, 1)).reason == RefusalReason::TicketInvalid));
+    BOOST_TEST((std::get<Refusal>(book.tickets.redeem("short", book.club, 1)).reason == RefusalReason::TicketInvalid));
 }
 
 BOOST_AUTO_TEST_CASE(ARestartedHolderDoesNotRunAnOldTicket)
 {
     Book book;
     auto const ticket = book.tickets.issue(book.club, 1).front();
-    TicketBook restarted(book.authenticator, VMId(1), Incarnation(6), 4, 100);
-    auto const refusal = std::get<Refusal>(restarted.use(ticket, book.club, 1));
+    TicketRegistry restarted(book.authenticator, VMId(1), Incarnation(6), 4, 100);
+    auto const refusal = std::get<Refusal>(restarted.redeem(ticket, book.club, 1));
     BOOST_TEST((refusal.reason == RefusalReason::TicketHolderGone && refusal.verdict == Verdict::MayHaveRun));
 }
 
@@ -132,9 +132,9 @@
 {
     Book book;
     auto const tickets = book.tickets.issue(book.club, 4);
-    BOOST_REQUIRE(std::holds_alternative<TicketBook::MayRun>(book.tickets.use(tickets[1], book.club, 1)));
+    BOOST_REQUIRE(std::holds_alternative<TicketRegistry::MayRun>(book.tickets.redeem(tickets[1], book.club, 1)));
     BOOST_TEST(book.tickets.issue(book.club, 3).size() == 1u);
-    auto const refusal = std::get<Refusal>(book.tickets.use(tickets[0], book.club, 1));
+    auto const refusal = std::get<Refusal>(book.tickets.redeem(tickets[0], book.club, 1));
     BOOST_TEST((refusal.reason == RefusalReason::KeyOutOfWindow && refusal.verdict == Verdict::MayHaveRun));
 }
 
