--- a/Tests/LibOnce/OnceWorld.cpp
+++ b/Tests/LibOnce/OnceSimulation.cpp
@@ -1,18 +1,18 @@
-#include <LibOnce/OnceWorld.h>
+#include <LibOnce/OnceSimulation.h>
 
 namespace Stagepost::Tests {
 
 namespace {
 
-    constexpr int64_t wallStart = 1764680000;
+    constexpr int64_t startTime = 1764680000;
     constexpr Microseconds tickInterval { 50000 };
     constexpr Microseconds naiveTimeout { 2000000 };
-    // After the last call, long enough for every attempt to be given up.
-    constexpr double settleSeconds = 30;
+    // The simulated time after the last call, long enough for every attempt to expire.
+    constexpr double drainSeconds = 30;
 
 }
 
-OnceWorld::OnceWorld(Options options)
+OnceSimulation::OnceSimulation(Options options)
     : m_options(options)
     , m_random(options.seed)
     , m_daemons(options.daemons)
@@ -21,22 +21,22 @@
         restart(index);
 }
 
-bool OnceWorld::fault()
+bool OnceSimulation::injectsFault()
 {
     return m_random() % 1000 < m_options.faultsPerThousand;
 }
 
-Microseconds OnceWorld::someTime(int64_t most)
+Microseconds OnceSimulation::randomDuration(int64_t max)
 {
-    return Microseconds(static_cast<int64_t>(m_random() % static_cast<uint64_t>(most)));
+    return Microseconds(static_cast<int64_t>(m_random() % static_cast<uint64_t>(max)));
 }
 
-// The new process knows nothing of the one before; callbacks of that one are lost.
-void OnceWorld::restart(size_t index)
+// The new process has no state of the previous one, whose pending callbacks are dropped.
+void OnceSimulation::restart(size_t index)
 {
     auto& daemon = m_daemons[index];
-    auto const life = ++daemon.life;
-    auto const isCurrent = [this, index, life] { return m_daemons[index].life == life; };
+    auto const incarnation = ++daemon.incarnation;
+    auto const isCurrent = [this, index, incarnation] { return m_daemons[index].incarnation == incarnation; };
     ClaimGate::Hooks hooks {
         [this, isCurrent](std::string const& stream, std::string record, std::function<void(Result<Offset>)> callback) {
             append(stream, std::move(record), [isCurrent, callback = std::move(callback)](Result<Offset> const& result) {
@@ -51,36 +51,36 @@
             });
         },
         [this] { return m_random(); },
-        [this] { return wallStart + static_cast<int64_t>(m_events.seconds()); },
+        [this] { return startTime + static_cast<int64_t>(m_events.seconds()); },
     };
     ClaimGateOptions gateOptions;
     gateOptions.appendsPerSecond = 20;
     daemon.gate = std::make_unique<ClaimGate>(gateOptions, std::move(hooks));
-    daemon.authenticator = std::make_unique<Authenticator>("key", VMId(index + 1), Incarnation(life));
-    daemon.tickets = std::make_unique<TicketRegistry>(*daemon.authenticator, VMId(index + 1), Incarnation(life), 100000, 1 << 20);
+    daemon.authenticator = std::make_unique<Authenticator>("key", VMId(index + 1), Incarnation(incarnation));
+    daemon.tickets = std::make_unique<TicketRegistry>(*daemon.authenticator, VMId(index + 1), Incarnation(incarnation), 100000, 1 << 20);
 }
 
-void OnceWorld::append(std::string const& stream, std::string record, std::function<void(Result<Offset>)> const& callback)
+void OnceSimulation::append(std::string const& stream, std::string record, std::function<void(Result<Offset>)> const& callback)
 {
-    if (m_isLogDown || fault()) {
-        m_events.after(someTime(20000), [callback] { callback(Error(ErrorCode::Unreachable, "down")); });
+    if (m_isLogDown || injectsFault()) {
+        m_events.after(randomDuration(20000), [callback] { callback(Error(ErrorCode::Unreachable, "down")); });
         return;
     }
-    bool const losesReply = fault();
-    bool const isVeryLate = fault();
-    bool const isLost = losesReply && fault();
-    // A daemon waits two seconds for a reply; a record may take effect after that.
-    if (isVeryLate)
+    bool const losesReply = injectsFault();
+    bool const isTimedOut = injectsFault();
+    bool const isLost = losesReply && injectsFault();
+    // A daemon's append times out after two seconds; the record may still be appended later.
+    if (isTimedOut)
         m_events.after(Microseconds(2000000), [callback] { callback(Error(ErrorCode::Timeout, "no reply")); });
-    auto const effect = isVeryLate ? Microseconds(2000000) + someTime(4000000) : someTime(5000);
-    m_events.after(effect, [this, stream, record = std::move(record), callback, losesReply, isVeryLate, isLost] {
+    auto const effect = isTimedOut ? Microseconds(2000000) + randomDuration(4000000) : randomDuration(5000);
+    m_events.after(effect, [this, stream, record = std::move(record), callback, losesReply, isTimedOut, isLost] {
         auto& records = m_streams[stream];
         if (!isLost)
             records.push_back(record);
-        if (isVeryLate)
+        if (isTimedOut)
             return;
         auto const offset = Offset(records.size() - 1);
-        m_events.after(someTime(5000), [callback, losesReply, offset] {
+        m_events.after(randomDuration(5000), [callback, losesReply, offset] {
             if (losesReply)
                 callback(Error(ErrorCode::Timeout, "reply lost"));
             else
@@ -89,22 +89,22 @@
     });
 }
 
-void OnceWorld::read(std::string const& stream, Offset from, std::function<void(Result<ClaimGate::ReadResult>)> const& callback)
+void OnceSimulation::read(std::string const& stream, Offset from, std::function<void(Result<ClaimGate::ReadResult>)> const& callback)
 {
-    m_events.after(someTime(5000), [this, stream, from, callback] {
-        if (m_isLogDown || fault()) {
+    m_events.after(randomDuration(5000), [this, stream, from, callback] {
+        if (m_isLogDown || injectsFault()) {
             callback(Error(ErrorCode::PlatformDown, "down"));
             return;
         }
         auto const& records = m_streams[stream];
-        ClaimGate::ReadResult result { Offset(0), Offset(records.size()), {}, m_returns };
+        ClaimGate::ReadResult result { Offset(0), Offset(records.size()), {}, m_restoreCount };
         for (auto offset = from.value(); offset < records.size() && result.records.size() < 3; ++offset)
             result.records.emplace_back(Offset(offset), records[offset]);
         callback(std::move(result));
     });
 }
 
-void OnceWorld::answer(std::shared_ptr<Submission> const& submission, Verdict verdict)
+void OnceSimulation::recordVerdict(std::shared_ptr<Submission> const& submission, Verdict verdict)
 {
     submission->isAnswered = true;
     if (verdict == Verdict::NotRun) {
@@ -115,18 +115,18 @@
     }
 }
 
-// The daemon may be paused, stopped or restarted before it gets to run the call;
-// a paused one runs it all the same, however late.
-void OnceWorld::execute(size_t index, std::shared_ptr<Submission> const& submission, std::function<void(Verdict)> finished)
+// The daemon may pause, fail or restart before it runs the call. After a pause it still runs
+// the call, however late.
+void OnceSimulation::execute(size_t index, std::shared_ptr<Submission> const& submission, std::function<void(Verdict)> finished)
 {
-    auto const pause = fault() ? someTime(10000000) : someTime(2000);
+    auto const pause = injectsFault() ? randomDuration(10000000) : randomDuration(2000);
     submission->isFaulted |= pause > Microseconds(2000);
-    auto const life = m_daemons[index].life;
-    m_events.after(pause, [this, index, life, submission, finished = std::move(finished)] {
-        auto const isAlive = [this, index, life] { return m_daemons[index].life == life; };
+    auto const incarnation = m_daemons[index].incarnation;
+    m_events.after(pause, [this, index, incarnation, submission, finished = std::move(finished)] {
+        auto const isAlive = [this, index, incarnation] { return m_daemons[index].incarnation == incarnation; };
         if (!isAlive())
             return;
-        if (fault()) {
+        if (injectsFault()) {
             submission->isFaulted = true;
             finished(Verdict::NotRun);
             return;
@@ -135,27 +135,27 @@
         ++m_counts.ran;
         if (++m_runs[submission->call] > 1)
             ++m_counts.duplicates;
-        if (fault()) {
+        if (injectsFault()) {
             submission->isFaulted = true;
             finished(Verdict::MayHaveRun);
             return;
         }
-        m_events.after(someTime(20000), [isAlive, finished] {
+        m_events.after(randomDuration(20000), [isAlive, finished] {
             if (isAlive())
                 finished(Verdict::Ran);
         });
     });
 }
 
-void OnceWorld::decideKey(size_t index, std::shared_ptr<Submission> const& submission, IdempotencyKey const& key, ClaimGate::Decision const& decision)
+void OnceSimulation::decideKey(size_t index, std::shared_ptr<Submission> const& submission, IdempotencyKey const& key, ClaimGate::Decision const& decision)
 {
     if (auto const* refusal = std::get_if<Refusal>(&decision)) {
-        answer(submission, refusal->verdict);
+        recordVerdict(submission, refusal->verdict);
         return;
     }
     if (std::holds_alternative<ClaimGate::Replay>(decision)) {
         ++m_counts.replayed;
-        answer(submission, Verdict::Ran);
+        recordVerdict(submission, Verdict::Ran);
         return;
     }
     auto const nonce = std::get<ClaimGate::MayRun>(decision).nonce;
@@ -165,52 +165,52 @@
             gate.done(key, nonce, { 200, "text/plain", submission->call, true }, m_events.now());
         else if (verdict == Verdict::NotRun)
             gate.abandon(key, nonce, m_events.now());
-        answer(submission, verdict);
+        recordVerdict(submission, verdict);
     });
 }
 
-void OnceWorld::submitKey(size_t number, int resends)
+void OnceSimulation::submitKey(size_t number, int retries)
 {
     auto const index = m_random() % m_daemons.size();
-    auto const text = std::to_string(wallStart) + "-" + std::to_string(number);
+    auto const text = std::to_string(startTime) + "-" + std::to_string(number);
     auto const submission = std::make_shared<Submission>();
     submission->call = text;
     m_submissions.push_back(submission);
     ++m_counts.calls;
     auto const key = IdempotencyKey::parse(text, 1).value();
-    if (m_options.isGuarded) {
+    if (m_options.enforcesAtMostOnce) {
         m_daemons[index].gate->claim(key, number, m_events.now(), [this, index, submission, key](ClaimGate::Decision const& decision) {
             decideKey(index, submission, key, decision);
         });
     } else {
         execute(index, submission, [this, submission](Verdict verdict) {
             if (!submission->isAnswered)
-                answer(submission, verdict);
+                recordVerdict(submission, verdict);
         });
-        // What goes without a guard: after a time-out it is simply called not run.
+        // A naive client: it takes a timeout to mean that the call has not run.
         m_events.after(naiveTimeout, [this, submission] {
             if (!submission->isAnswered)
-                answer(submission, Verdict::NotRun);
+                recordVerdict(submission, Verdict::NotRun);
         });
     }
-    if (resends > 0)
-        m_events.after(someTime(4000000), [this, number, resends] { submitKey(number, resends - 1); });
+    if (retries > 0)
+        m_events.after(randomDuration(4000000), [this, number, retries] { submitKey(number, retries - 1); });
 }
 
-void OnceWorld::submitTicket(std::string const& ticket, std::string const& call, int resends)
+void OnceSimulation::submitTicket(std::string const& ticket, std::string const& call, int retries)
 {
     auto const submission = std::make_shared<Submission>();
     submission->call = call;
     m_submissions.push_back(submission);
     ++m_counts.calls;
-    // Whichever daemon it comes to, it ends at the holder or at none.
+    // A request that reaches another daemon is forwarded to the one that issued the ticket.
     size_t index = 0;
     auto decision = m_daemons[0].tickets->redeem(ticket, OrganisationId(1), 1);
     if (auto const* elsewhere = std::get_if<TicketRegistry::HeldElsewhere>(&decision)) {
         index = elsewhere->holder.value() - 1;
         decision = m_daemons[index].tickets->redeem(ticket, OrganisationId(1), 1);
     }
-    if (auto const* granted = std::get_if<TicketRegistry::MayRun>(&decision); granted || !m_options.isGuarded) {
+    if (auto const* granted = std::get_if<TicketRegistry::MayRun>(&decision); granted || !m_options.enforcesAtMostOnce) {
         auto const serial = granted ? granted->serial : 0;
         execute(index, submission, [this, index, submission, serial](Verdict verdict) {
             auto& tickets = *m_daemons[index].tickets;
@@ -220,57 +220,58 @@
                 tickets.notRun(serial);
             else
                 tickets.inDoubt(serial);
-            answer(submission, verdict);
+            recordVerdict(submission, verdict);
         });
     } else if (std::holds_alternative<TicketRegistry::Replay>(decision)) {
         ++m_counts.replayed;
-        answer(submission, Verdict::Ran);
+        recordVerdict(submission, Verdict::Ran);
     } else {
-        answer(submission, std::get<Refusal>(decision).verdict);
+        recordVerdict(submission, std::get<Refusal>(decision).verdict);
     }
-    if (resends > 0)
-        m_events.after(someTime(4000000), [this, ticket, call, resends] { submitTicket(ticket, call, resends - 1); });
+    if (retries > 0)
+        m_events.after(randomDuration(4000000), [this, ticket, call, retries] { submitTicket(ticket, call, retries - 1); });
 }
 
-// In each stream some of the last records are gone; what is on its way comes after them.
-void OnceWorld::loseRecords()
+// Removes some of the last records of each stream. Appends in flight are added after the
+// remaining ones.
+void OnceSimulation::restoreFromBackup()
 {
     for (auto& [name, records] : m_streams)
         records.resize(records.size() - std::min<size_t>(records.size(), m_random() % 6));
-    ++m_returns;
+    ++m_restoreCount;
 }
 
-void OnceWorld::tick()
+void OnceSimulation::tick()
 {
     for (auto& daemon : m_daemons)
         daemon.gate->tick(m_events.now());
-    // A restart every few seconds, an outage of the log of up to three.
+    // At the default fault rate a daemon restarts about every 2.5 s, and the log fails for up to 3 s.
     if (m_random() % 4000 < m_options.faultsPerThousand)
         restart(m_random() % m_daemons.size());
     if (!m_isLogDown && m_random() % 8000 < m_options.faultsPerThousand) {
         m_isLogDown = true;
-        m_events.after(someTime(3000000), [this] { m_isLogDown = false; });
+        m_events.after(randomDuration(3000000), [this] { m_isLogDown = false; });
     }
-    if (m_options.losesRecords && m_random() % 4000 < m_options.faultsPerThousand)
-        loseRecords();
+    if (m_options.restoresFromBackups && m_random() % 4000 < m_options.faultsPerThousand)
+        restoreFromBackup();
     m_events.after(tickInterval, [this] { tick(); });
 }
 
-OnceWorld::Counts OnceWorld::run(size_t keys)
+OnceSimulation::Counts OnceSimulation::run(size_t keys)
 {
-    constexpr int mostResends = 3;
+    constexpr int maxRetries = 3;
     m_events.after(tickInterval, [this] { tick(); });
     auto const spacing = Microseconds(5000);
     for (size_t number = 0; number < keys; ++number) {
         auto const at = spacing * static_cast<int64_t>(number);
-        m_events.after(at, [this, number] { submitKey(number, mostResends); });
+        m_events.after(at, [this, number] { submitKey(number, maxRetries); });
         m_events.after(at, [this, number] {
             auto const holder = m_random() % m_daemons.size();
             auto const tickets = m_daemons[holder].tickets->issue(OrganisationId(1), 1);
-            submitTicket(tickets.front(), "ticket-" + std::to_string(number), mostResends);
+            submitTicket(tickets.front(), "ticket-" + std::to_string(number), maxRetries);
         });
     }
-    auto const end = asSeconds(spacing) * static_cast<double>(keys) + 12 + settleSeconds;
+    auto const end = asSeconds(spacing) * static_cast<double>(keys) + 12 + drainSeconds;
     m_events.runUntil(Measure::instantAt(end));
     for (auto const& submission : m_submissions) {
         m_counts.wrongVerdicts += submission->hasRun && submission->wasToldNotRun;
--- a/Tests/LibOnce/OnceWorld.h
+++ b/Tests/LibOnce/OnceSimulation.h
@@ -11,21 +11,22 @@
 
 namespace Stagepost::Tests {
 
-// Daemons with claim gates and ticket books, a log and an upstream, all of which
-// fail at random: appends take effect late, their replies get lost, the log goes
-// down, daemons stop between any two steps or restart with nothing remembered,
-// the upstream runs a call and its answer is lost. Seeded, on a manual clock.
-class OnceWorld {
+// Simulates daemons with claim gates and ticket registries, a log and an upstream, and injects
+// random faults: appends take effect late, their replies are lost, the log is unavailable,
+// daemons pause between any two steps or restart without state, and the response of a call
+// that ran is lost. A seed determines every run; time is simulated.
+class OnceSimulation {
 public:
     struct Options {
         uint64_t seed { 1 };
         size_t daemons { 3 };
-        // Of each kind of fault, in a thousand.
+        // The probability of each kind of fault, per thousand.
         unsigned faultsPerThousand { 80 };
-        // Off, every daemon runs what it is asked to: what the guard is there for.
-        bool isGuarded { true };
-        // The log comes back from copies now and then that lack its last records.
-        bool losesRecords { false };
+        // Without it every daemon runs each call that it receives. Shows that the simulation
+        // detects duplicates and wrong verdicts.
+        bool enforcesAtMostOnce { true };
+        // The log is restored at random times from backups that lack its last records.
+        bool restoresFromBackups { false };
     };
     struct Counts {
         uint64_t calls { 0 };
@@ -39,20 +40,20 @@
         uint64_t unanswered { 0 };
     };
 
-    explicit OnceWorld(Options);
+    explicit OnceSimulation(Options);
 
-    // Sends that many keyed calls and as many ticketed ones, each of them several
-    // times through random daemons, and lets everything come to an end.
+    // Submits this many calls with idempotency keys and as many with tickets, retries each of
+    // them several times at random daemons, and runs until every attempt has expired.
     Counts run(size_t keys);
 
 private:
     struct Daemon {
-        uint64_t life { 0 };
+        uint64_t incarnation { 0 };
         std::unique_ptr<ClaimGate> gate;
         std::unique_ptr<Authenticator> authenticator;
         std::unique_ptr<TicketRegistry> tickets;
     };
-    // One sending of one call.
+    // One attempt to have a call run.
     struct Submission {
         std::string call;
         bool hasRun { false };
@@ -61,18 +62,18 @@
         bool isFaulted { false };
     };
 
-    bool fault();
-    Microseconds someTime(int64_t mostMicroseconds);
+    bool injectsFault();
+    Microseconds randomDuration(int64_t maxMicroseconds);
     void restart(size_t daemon);
-    void submitKey(size_t key, int resends);
-    void submitTicket(std::string const& ticket, std::string const& call, int resends);
+    void submitKey(size_t key, int retries);
+    void submitTicket(std::string const& ticket, std::string const& call, int retries);
     void decideKey(size_t daemon, std::shared_ptr<Submission> const&, IdempotencyKey const&, ClaimGate::Decision const&);
     void execute(size_t daemon, std::shared_ptr<Submission> const&, std::function<void(Verdict)> finished);
-    void answer(std::shared_ptr<Submission> const&, Verdict);
+    void recordVerdict(std::shared_ptr<Submission> const&, Verdict);
     void append(std::string const& stream, std::string record, std::function<void(Result<Offset>)> const& callback);
     void read(std::string const& stream, Offset from, std::function<void(Result<ClaimGate::ReadResult>)> const& callback);
     void tick();
-    void loseRecords();
+    void restoreFromBackup();
 
     Options m_options;
     std::mt19937_64 m_random;
@@ -82,7 +83,7 @@
     std::map<std::string, unsigned> m_runs;
     std::vector<std::shared_ptr<Submission>> m_submissions;
     bool m_isLogDown { false };
-    uint64_t m_returns { 0 };
+    uint64_t m_restoreCount { 0 };
     Counts m_counts;
 };
 
--- a/Tests/LibOnce/TestOnce.cpp
+++ b/Tests/LibOnce/TestOnce.cpp
@@ -1,4 +1,4 @@
-#include <LibOnce/OnceWorld.h>
+#include <LibOnce/OnceSimulation.h>
 #include <boost/test/unit_test.hpp>
 #include <rapidcheck.h>
 
@@ -24,17 +24,17 @@
 
 using Step = ClaimRecord::Step;
 
-struct Book {
+struct TicketFixture {
     Authenticator authenticator { "key", VMId(1), Incarnation(5) };
     TicketRegistry tickets { authenticator, VMId(1), Incarnation(5), 4, 100 };
-    OrganisationId club { 7 };
+    OrganisationId organisation { 7 };
 };
 
 }
 
 BOOST_AUTO_TEST_SUITE(OnceTests)
 
-BOOST_AUTO_TEST_CASE(AKeyNeedsItsTime)
+BOOST_AUTO_TEST_CASE(KeysWithoutCreationTimeAreRejected)
 {
     BOOST_TEST(IdempotencyKey::parse("1764680000-a", 1).has_value());
     for (auto const* wrong : { "", "abc", "1764680000", "1764680000-", "-5-a" })
@@ -55,7 +55,7 @@
     BOOST_TEST(table.find(key)->response.body == "answer");
 }
 
-BOOST_AUTO_TEST_CASE(AnAbandonedKeyIsFreeAndALateClaimOfItVoid)
+BOOST_AUTO_TEST_CASE(AbandonFreesAKeyAndVoidsALateClaimOfTheSameAttempt)
 {
     ClaimTable table;
     auto const key = keyOf("10-a");
@@ -69,7 +69,7 @@
     BOOST_TEST(table.find(key) == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(AnswersAreDroppedBeforeKeys)
+BOOST_AUTO_TEST_CASE(ResponseBodiesAreDroppedBeforeKeys)
 {
     ClaimTable table;
     auto const key = keyOf("10-a");
@@ -82,7 +82,7 @@
     BOOST_TEST(table.size() == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(RecordsSurviveTheLog)
+BOOST_AUTO_TEST_CASE(RecordsRoundTripAndGarbageIsRejected)
 {
     auto const key = keyOf("10-a");
     auto const text = ClaimRecord::encode({ step(Step::Claim, key, 1), step(Step::Done, key, 1), step(Step::Abandon, key, 3) });
@@ -90,7 +90,7 @@
     BOOST_REQUIRE(records.has_value());
     BOOST_TEST(records->size() == 3u);
     BOOST_TEST(records->at(1).response.body == "answer");
-    BOOST_TEST(rc::check("garbage in the log is no record", [](std::string const& garbage) {
+    BOOST_TEST(rc::check("garbage does not decode to records", [](std::string const& garbage) {
         auto const decoded = ClaimRecord::decode(garbage);
         bool const isNothing = !decoded.has_value() || decoded->empty();
         RC_ASSERT(isNothing);
@@ -99,42 +99,42 @@
 
 BOOST_AUTO_TEST_CASE(ATicketRunsOnce)
 {
-    Book book;
-    auto const ticket = book.tickets.issue(book.club, 1).front();
-    auto const first = book.tickets.redeem(ticket, book.club, 1);
+    TicketFixture fixture;
+    auto const ticket = fixture.tickets.issue(fixture.organisation, 1).front();
+    auto const first = fixture.tickets.redeem(ticket, fixture.organisation, 1);
     BOOST_REQUIRE(std::holds_alternative<TicketRegistry::MayRun>(first));
-    BOOST_TEST((std::get<Refusal>(book.tickets.redeem(ticket, book.club, 1)).verdict == Verdict::MayHaveRun));
-    book.tickets.done(std::get<TicketRegistry::MayRun>(first).serial, { 200, "", "body", true });
-    BOOST_TEST(std::get<TicketRegistry::Replay>(book.tickets.redeem(ticket, book.club, 1)).response.body == "body");
-    BOOST_TEST((std::get<Refusal>(book.tickets.redeem(ticket, book.club, 2)).reason == RefusalReason::KeyReused));
+    BOOST_TEST((std::get<Refusal>(fixture.tickets.redeem(ticket, fixture.organisation, 1)).verdict == Verdict::MayHaveRun));
+    fixture.tickets.done(std::get<TicketRegistry::MayRun>(first).serial, { 200, "", "body", true });
+    BOOST_TEST(std::get<TicketRegistry::Replay>(fixture.tickets.redeem(ticket, fixture.organisation, 1)).response.body == "body");
+    BOOST_TEST((std::get<Refusal>(fixture.tickets.redeem(ticket, fixture.organisation, 2)).reason == RefusalReason::KeyReused));
 }
 
-BOOST_AUTO_TEST_CASE(ForeignAndDamagedTicketsAreInvalid)
+BOOST_AUTO_TEST_CASE(TicketsOfOthersAndDamagedTicketsAreInvalid)
 {
-    Book book;
-    auto ticket = book.tickets.issue(book.club, 1).front();
-    BOOST_TEST((std::get<Refusal>(book.tickets.redeem(ticket, OrganisationId(8), 1)).reason == RefusalReason::TicketInvalid));
+    TicketFixture fixture;
+    auto ticket = fixture.tickets.issue(fixture.organisation, 1).front();
+    BOOST_TEST((std::get<Refusal>(fixture.tickets.redeem(ticket, OrganisationId(8), 1)).reason == RefusalReason::TicketInvalid));
     ticket[40] = ticket[40] == '0' ? '1' : '0';
-    BOOST_TEST((std::get<Refusal>(book.tickets.redeem(ticket, book.club, 1)).reason == RefusalReason::TicketInvalid));
-    BOOST_TEST((std::get<Refusal>(book.tickets.redeem("short", book.club, 1)).reason == RefusalReason::TicketInvalid));
+    BOOST_TEST((std::get<Refusal>(fixture.tickets.redeem(ticket, fixture.organisation, 1)).reason == RefusalReason::TicketInvalid));
+    BOOST_TEST((std::get<Refusal>(fixture.tickets.redeem("short", fixture.organisation, 1)).reason == RefusalReason::TicketInvalid));
 }
 
-BOOST_AUTO_TEST_CASE(ARestartedHolderDoesNotRunAnOldTicket)
+BOOST_AUTO_TEST_CASE(ARestartedDaemonRefusesTicketsOfItsPreviousIncarnation)
 {
-    Book book;
-    auto const ticket = book.tickets.issue(book.club, 1).front();
-    TicketRegistry restarted(book.authenticator, VMId(1), Incarnation(6), 4, 100);
-    auto const refusal = std::get<Refusal>(restarted.redeem(ticket, book.club, 1));
+    TicketFixture fixture;
+    auto const ticket = fixture.tickets.issue(fixture.organisation, 1).front();
+    TicketRegistry restarted(fixture.authenticator, VMId(1), Incarnation(6), 4, 100);
+    auto const refusal = std::get<Refusal>(restarted.redeem(ticket, fixture.organisation, 1));
     BOOST_TEST((refusal.reason == RefusalReason::TicketHolderGone && refusal.verdict == Verdict::MayHaveRun));
 }
 
-BOOST_AUTO_TEST_CASE(TheWindowIsBounded)
+BOOST_AUTO_TEST_CASE(OnlyAWindowOfTicketsIsTracked)
 {
-    Book book;
-    auto const tickets = book.tickets.issue(book.club, 4);
-    BOOST_REQUIRE(std::holds_alternative<TicketRegistry::MayRun>(book.tickets.redeem(tickets[1], book.club, 1)));
-    BOOST_TEST(book.tickets.issue(book.club, 3).size() == 1u);
-    auto const refusal = std::get<Refusal>(book.tickets.redeem(tickets[0], book.club, 1));
+    TicketFixture fixture;
+    auto const tickets = fixture.tickets.issue(fixture.organisation, 4);
+    BOOST_REQUIRE(std::holds_alternative<TicketRegistry::MayRun>(fixture.tickets.redeem(tickets[1], fixture.organisation, 1)));
+    BOOST_TEST(fixture.tickets.issue(fixture.organisation, 3).size() == 1u);
+    auto const refusal = std::get<Refusal>(fixture.tickets.redeem(tickets[0], fixture.organisation, 1));
     BOOST_TEST((refusal.reason == RefusalReason::KeyOutOfWindow && refusal.verdict == Verdict::MayHaveRun));
 }
 
@@ -157,40 +157,41 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(NothingRunsTwiceAndNotRunIsTrueUnderFaults)
+BOOST_AUTO_TEST_CASE(UnderFaultsNoCallRunsTwiceAndNotRunVerdictsAreCorrect)
 {
-    BOOST_TEST(rc::check("random faults, interleavings and resends", [](uint32_t seed) {
-        Tests::OnceWorld::Options options;
+    BOOST_TEST(rc::check("random faults, interleavings and retries", [](uint32_t seed) {
+        Tests::OnceSimulation::Options options;
         options.seed = seed;
         options.faultsPerThousand = 20 + seed % 200;
-        auto const counts = Tests::OnceWorld(options).run(40);
+        auto const counts = Tests::OnceSimulation(options).run(40);
         RC_ASSERT(counts.duplicates == 0u);
         RC_ASSERT(counts.wrongVerdicts == 0u);
         RC_ASSERT(counts.ran > 0u);
     }));
 }
 
-// A claim that was answered and is lost must not let its call run again, and a claim at an
-// offset that was read before must not be passed over.
-BOOST_AUTO_TEST_CASE(NothingRunsTwiceWhereTheLogLosesItsLastRecords)
+// Guards against duplicate runs after the log is restored from a backup that lacks its last
+// records: a lost claim must not let its call run again, and a new claim at an offset that
+// was read before the restore must not be skipped.
+BOOST_AUTO_TEST_CASE(NoCallRunsTwiceWhenTheLogIsRestoredFromABackup)
 {
-    BOOST_TEST(rc::check("random returns of the log from copies", [](uint32_t seed) {
-        Tests::OnceWorld::Options options;
+    BOOST_TEST(rc::check("random restores of the log from backups", [](uint32_t seed) {
+        Tests::OnceSimulation::Options options;
         options.seed = seed;
         options.faultsPerThousand = 20 + seed % 200;
-        options.losesRecords = true;
-        auto const counts = Tests::OnceWorld(options).run(40);
+        options.restoresFromBackups = true;
+        auto const counts = Tests::OnceSimulation(options).run(40);
         RC_ASSERT(counts.duplicates == 0u);
         RC_ASSERT(counts.wrongVerdicts == 0u);
         RC_ASSERT(counts.ran > 0u);
     }));
 }
 
-BOOST_AUTO_TEST_CASE(KeysThatWereMadeBeforeTheReturnAreInDoubtAndLaterOnesAreNot)
+BOOST_AUTO_TEST_CASE(AfterALogRestoreOnlyKeysCreatedBeforeItAreRefused)
 {
     std::vector<std::string> log;
-    uint64_t returns = 0;
-    int64_t second = 1000;
+    uint64_t restoreCount = 0;
+    int64_t wallClockSeconds = 1000;
     uint64_t nonce = 1;
     std::vector<std::function<void()>> due;
     ClaimGate::Hooks const hooks {
@@ -199,15 +200,15 @@
             due.emplace_back([callback, at = log.size() - 1] { callback(Offset(at)); });
         },
         [&](std::string const&, Offset from, std::function<void(Result<ClaimGate::ReadResult>)> const& callback) {
-            ClaimGate::ReadResult result { Offset(0), Offset(log.size()), {}, returns };
+            ClaimGate::ReadResult result { Offset(0), Offset(log.size()), {}, restoreCount };
             for (auto at = from.value(); at < log.size(); ++at)
                 result.records.emplace_back(Offset(at), log[at]);
             due.emplace_back([callback, result] { callback(result); });
         },
         [&] { return nonce += 2; },
-        [&] { return second; },
+        [&] { return wallClockSeconds; },
     };
-    auto const settle = [&] {
+    auto const runDueCallbacks = [&] {
         while (!due.empty()) {
             auto const steps = std::exchange(due, {});
             for (auto const& step : steps)
@@ -219,41 +220,41 @@
         std::optional<ClaimGate::Decision> decision;
         now += Seconds(1);
         gate.claim(keyOf(key), 1, now, [&](auto const& decided) { decision = decided; });
-        settle();
+        runDueCallbacks();
         return decision.value();
     };
     ClaimGate before({}, hooks);
     auto const first = std::get<ClaimGate::MayRun>(decisionOf(before, "1000-a"));
-    // The claim is lost, and its holder with it.
+    // The restore loses the claim, and the daemon that held it has restarted.
     log.clear();
-    ++returns;
+    ++restoreCount;
     ClaimGate after({}, hooks);
     auto const refused = std::get<Refusal>(decisionOf(after, "1000-a"));
     BOOST_TEST((refused.reason == RefusalReason::KeyOutOfWindow && refused.verdict == Verdict::MayHaveRun));
-    second = 1100;
+    wallClockSeconds = 1100;
     auto const later = std::get<ClaimGate::MayRun>(decisionOf(after, "1090-a"));
-    // Whatever offsets do, what runs later has the higher fence.
+    // Fences increase although offsets start again.
     BOOST_TEST(later.fence > first.fence);
-    // A third daemon goes by what the second has written.
+    // A third daemon learns of the possible loss from the record that the second appended.
     ClaimGate third({}, hooks);
     BOOST_TEST(std::holds_alternative<Refusal>(decisionOf(third, "1000-b")));
     BOOST_TEST(std::holds_alternative<ClaimGate::MayRun>(decisionOf(third, "1095-b")));
 }
 
-BOOST_AUTO_TEST_CASE(WithoutTheGuardTheSameWorldRunsCallsTwice)
+BOOST_AUTO_TEST_CASE(WithoutAtMostOnceTheSimulationDetectsDuplicates)
 {
-    Tests::OnceWorld::Options options;
-    options.isGuarded = false;
-    auto const counts = Tests::OnceWorld(options).run(200);
+    Tests::OnceSimulation::Options options;
+    options.enforcesAtMostOnce = false;
+    auto const counts = Tests::OnceSimulation(options).run(200);
     BOOST_TEST(counts.duplicates > 0u);
     BOOST_TEST(counts.wrongVerdicts > 0u);
 }
 
-BOOST_AUTO_TEST_CASE(WithoutFaultsEveryCallRunsAndEveryResendGetsItsAnswer)
+BOOST_AUTO_TEST_CASE(WithoutFaultsEveryCallRunsAndRetriesAreReplayed)
 {
-    Tests::OnceWorld::Options options;
+    Tests::OnceSimulation::Options options;
     options.faultsPerThousand = 0;
-    auto const counts = Tests::OnceWorld(options).run(40);
+    auto const counts = Tests::OnceSimulation(options).run(40);
     BOOST_TEST(counts.ran == 80u);
     BOOST_TEST(counts.unanswered == 0u);
     BOOST_TEST(counts.replayed > 0u);
