--- a/Libraries/LibSettings/Schema.h
+++ b/Libraries/LibSettings/Schema.h
@@ -11,7 +11,7 @@
 using TextList = std::vector<std::string>;
 using SettingValue = std::variant<bool, int64_t, double, std::string, TextList>;
 
-// The parts of the tree in which a setting may stand, as bits.
+// The tables of the tree in which a setting is allowed, as bit flags.
 enum SettingScope : unsigned {
     InFleet = 1,
     InOrganisations = 2,
@@ -19,14 +19,14 @@
     InServices = 8,
 };
 
-// What one setting may be. Numbers have their bounds, texts the list of what is
-// allowed (empty for any).
+// The schema of one setting. The type of the default is the type of the setting. The bounds
+// apply to numbers, the list of allowed values to text (empty: any text).
 struct SettingRule {
     std::string_view key;
     unsigned scopes;
-    SettingValue fallback;
-    double least { 0 };
-    double most { 0 };
+    SettingValue defaultValue;
+    double minimum { 0 };
+    double maximum { 0 };
     TextList allowed;
     std::string_view description;
 };
@@ -34,13 +34,14 @@
 std::span<SettingRule const> settingRules();
 SettingRule const* findSettingRule(std::string_view key);
 
-// The known key that is nearest to a misspelt one.
-std::string_view nearestSettingKey(std::string_view key);
+// The known key with the smallest edit distance to a misspelt one.
+std::string_view closestSettingKey(std::string_view key);
 
-// What a value of the rule may be, for people: "a number from 1 to 10".
-std::string allowedText(SettingRule const&);
+// A description of the allowed values for error messages and the reference page, for example
+// "a number from 1 to 10".
+std::string describeAllowedValues(SettingRule const&);
 
-// The value as an operator would write it.
-std::string textOf(SettingValue const&);
+// The value in the syntax in which operators write it.
+std::string formatSettingValue(SettingValue const&);
 
 }
--- a/Libraries/LibSettings/SettingsTree.cpp
+++ b/Libraries/LibSettings/SettingsTree.cpp
@@ -14,7 +14,7 @@
     struct Root {
         std::string_view name;
         SettingScope scope;
-        bool mayHaveChildren;
+        bool allowsChildren;
     };
 
     constexpr std::array roots {
@@ -36,7 +36,7 @@
         return path.empty() ? std::string(name) : path + '.' + std::string(name);
     }
 
-    std::optional<SettingValue> listOf(toml::array const& array)
+    std::optional<SettingValue> readTextList(toml::array const& array)
     {
         TextList list;
         for (auto const& element : array) {
@@ -48,23 +48,23 @@
         return list;
     }
 
-    // The value in the type that the rule asks for; a whole number serves as a number.
-    std::optional<SettingValue> convert(SettingRule const& rule, toml::node const& node)
+    // Converts a node to the type of the setting. Integers are accepted for floating-point settings.
+    std::optional<SettingValue> convertValue(SettingRule const& rule, toml::node const& node)
     {
-        if (std::holds_alternative<bool>(rule.fallback)) {
+        if (std::holds_alternative<bool>(rule.defaultValue)) {
             if (auto const value = node.value_exact<bool>())
                 return *value;
-        } else if (std::holds_alternative<int64_t>(rule.fallback)) {
+        } else if (std::holds_alternative<int64_t>(rule.defaultValue)) {
             if (auto const value = node.value_exact<int64_t>())
                 return *value;
-        } else if (std::holds_alternative<double>(rule.fallback)) {
+        } else if (std::holds_alternative<double>(rule.defaultValue)) {
             if (node.is_number())
                 return node.value<double>();
-        } else if (std::holds_alternative<std::string>(rule.fallback)) {
+        } else if (std::holds_alternative<std::string>(rule.defaultValue)) {
             if (auto const value = node.value_exact<std::string>())
                 return *value;
         } else if (auto const* array = node.as_array()) {
-            return listOf(*array);
+            return readTextList(*array);
         }
         return {};
     }
@@ -72,15 +72,15 @@
     bool isAllowed(SettingRule const& rule, SettingValue const& value)
     {
         if (auto const* whole = std::get_if<int64_t>(&value))
-            return static_cast<double>(*whole) >= rule.least && static_cast<double>(*whole) <= rule.most;
+            return static_cast<double>(*whole) >= rule.minimum && static_cast<double>(*whole) <= rule.maximum;
         if (auto const* number = std::get_if<double>(&value))
-            return *number >= rule.least && *number <= rule.most;
+            return *number >= rule.minimum && *number <= rule.maximum;
         if (auto const* text = std::get_if<std::string>(&value))
             return rule.allowed.empty() || std::find(rule.allowed.begin(), rule.allowed.end(), *text) != rule.allowed.end();
         return true;
     }
 
-    std::string writtenText(toml::node const& node)
+    std::string sourceText(toml::node const& node)
     {
         std::ostringstream text;
         node.visit([&](auto const& value) { text << value; });
@@ -89,7 +89,8 @@
 
 }
 
-// Walks the TOML tables and collects every problem, so that an operator sees all at once.
+// Converts TOML tables to a SettingsTree. It collects all problems, so that an operator sees
+// them in one run.
 class SettingsParser {
 public:
     void readTable(toml::table const& table, std::string const& path)
@@ -118,7 +119,7 @@
         auto const* root = findRoot(child);
         if (!root)
             return addProblem(child, "table", "one of the tables fleet, organisations, pools, services");
-        if (!path.empty() && !root->mayHaveChildren)
+        if (!path.empty() && !root->allowsChildren)
             return addProblem(child, "table", "no table under " + path);
         if (name.find('.') != std::string_view::npos || name.empty())
             return addProblem(child, "table", "a name without dots");
@@ -130,13 +131,13 @@
         auto const fullPath = childPath(path, key);
         auto const* rule = findSettingRule(key);
         if (!rule)
-            return addProblem(fullPath, writtenText(node), "a known setting; the nearest is " + std::string(nearestSettingKey(key)));
+            return addProblem(fullPath, sourceText(node), "a known setting; the nearest is " + std::string(closestSettingKey(key)));
         auto const* root = findRoot(path);
         if (!root || !(rule->scopes & root->scope))
-            return addProblem(fullPath, writtenText(node), "this setting only under " + scopeNames(*rule));
-        auto const value = convert(*rule, node);
+            return addProblem(fullPath, sourceText(node), "this setting only under " + scopeNames(*rule));
+        auto const value = convertValue(*rule, node);
         if (!value || !isAllowed(*rule, *value))
-            return addProblem(fullPath, writtenText(node), allowedText(*rule));
+            return addProblem(fullPath, sourceText(node), describeAllowedValues(*rule));
         m_tree.m_nodes[path].emplace(std::string(key), *value);
     }
 
@@ -175,7 +176,7 @@
     }
 }
 
-std::optional<ResolvedSetting> SettingsTree::findUpwards(std::string_view path, std::string_view key) const
+std::optional<ResolvedSetting> SettingsTree::findInherited(std::string_view path, std::string_view key) const
 {
     while (true) {
         if (auto const node = m_nodes.find(path); node != m_nodes.end()) {
@@ -193,14 +194,14 @@
 {
     auto const* rule = findSettingRule(key);
     if (!rule)
-        return Error(ErrorCode::BadInput, "no setting '" + std::string(key) + "'; the nearest is " + std::string(nearestSettingKey(key)));
+        return Error(ErrorCode::BadInput, "unknown setting '" + std::string(key) + "'; the nearest is " + std::string(closestSettingKey(key)));
     if (path != fleetPath && m_nodes.find(path) == m_nodes.end())
-        return Error(ErrorCode::NotFound, "no node '" + std::string(path) + "'");
-    if (auto const found = findUpwards(path, key))
+        return Error(ErrorCode::NotFound, "unknown node '" + std::string(path) + "'");
+    if (auto const found = findInherited(path, key))
         return *found;
-    if (auto const found = findUpwards(fleetPath, key))
+    if (auto const found = findInherited(fleetPath, key))
         return *found;
-    return ResolvedSetting { rule->fallback, "default" };
+    return ResolvedSetting { rule->defaultValue, "default" };
 }
 
 std::vector<std::string> SettingsTree::paths() const
@@ -234,7 +235,7 @@
         if (node == tree.m_nodes.end())
             return "unset";
         auto const found = node->second.find(key);
-        return found == node->second.end() ? "unset" : textOf(found->second);
+        return found == node->second.end() ? "unset" : formatSettingValue(found->second);
     };
     std::map<std::string, std::map<std::string, bool>> all;
     for (auto const* tree : { &before, &after }) {
--- a/Tests/LibSettings/TestSettingsTree.cpp
+++ b/Tests/LibSettings/TestSettingsTree.cpp
@@ -58,14 +58,14 @@
     BOOST_TEST(problemsOf("not toml").starts_with("line 1"));
 }
 
-BOOST_AUTO_TEST_CASE(AllProblemsAreSaidAtOnce)
+BOOST_AUTO_TEST_CASE(AllProblemsAreReportedTogether)
 {
     auto const problems = problemsOf("[fleet]\nload_multiple = 0\nticket_window = -1");
     BOOST_TEST(problems.find("load_multiple") != std::string::npos);
     BOOST_TEST(problems.find("ticket_window") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(LeavesAreTheOrganisations)
+BOOST_AUTO_TEST_CASE(OrganisationsAreTheLeafNodes)
 {
     auto const settings = FleetSettings::create(SettingsTree::parse(tree).value());
     BOOST_REQUIRE(settings.has_value());
@@ -73,7 +73,7 @@
     BOOST_TEST(settings->poolByModel.at("code").value() == PoolId::fromName("pools.coder").value());
 }
 
-BOOST_AUTO_TEST_CASE(ContradictionsAreRefused)
+BOOST_AUTO_TEST_CASE(ContradictorySettingsAreRejected)
 {
     auto const create = [](char const* toml) { return FleetSettings::create(SettingsTree::parse(toml).value()); };
     auto const twice = create("[pools.a]\nmodels=[\"m\"]\n[pools.b]\nmodels=[\"m\"]");
@@ -86,7 +86,7 @@
     BOOST_TEST(!create("[fleet]\nclaim_window_s = 100\nlog_retention_s = 150").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(DifferencesNameWhatChanged)
+BOOST_AUTO_TEST_CASE(DifferencesListChangedSettingsAndNodes)
 {
     auto const before = SettingsTree::parse("[pools.a]\nqueue_length = 1").value();
     auto const after = SettingsTree::parse("[pools.a]\nqueue_length = 2\n[pools.b]").value();
