--- a/Libraries/LibSettings/FleetSettings.cpp
+++ b/Libraries/LibSettings/FleetSettings.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-    // Reads resolved values of one node. The keys stand in the schema with these
-    // types, so a wrong one is a programming error and asserts.
+    // Reads the resolved values of one node. Callers must use a key of the schema with its
+    // type: an unknown key aborts, a wrong type throws std::bad_variant_access.
     class NodeReader {
     public:
         NodeReader(SettingsTree const& tree, std::string path)
@@ -73,7 +73,7 @@
         return pool;
     }
 
-    // The text of 16 bytes, as hashOfToken() gives it.
+    // Whether the text has the format that hashOfToken() returns.
     bool isTokenHash(std::string_view text)
     {
         constexpr size_t digits = 32;
--- a/Libraries/LibSettings/FleetSettings.h
+++ b/Libraries/LibSettings/FleetSettings.h
@@ -18,7 +18,7 @@
     bool urgent { true };
 };
 
-// The settings of the upstreams of one pool of engines or one plain service.
+// The settings for the upstreams of one pool of inference engines or of one service.
 struct PoolSettings {
     PoolId id;
     std::string path;
@@ -52,10 +52,11 @@
     size_t answerKeepBytes { 16384 };
 };
 
-// The tree with every value resolved, in the form that requests are served from.
+// The settings tree with all values resolved, indexed for lookups while serving requests.
 struct FleetSettings {
-    // Error: BadInput where the tree contradicts itself, for example by a model
-    // in two pools or a claim window that outlasts the log's retention.
+    // Error: BadInput if a token hash is malformed or settings contradict each other, for
+    // example if two pools list the same model, or the claim window is longer than half the
+    // log's retention.
     static Result<FleetSettings> create(SettingsTree const&);
 
     std::unordered_map<OrganisationId, OrganisationSettings> organisations;
@@ -65,7 +66,7 @@
     OnceSettings once;
 };
 
-// The hash under which a bearer token stands in the tree (BLAKE2b, 32 hex digits).
+// The hash of a bearer token as stored in token_hashes (BLAKE2b, 128 bits as 32 hex digits).
 std::string hashOfToken(std::string_view token);
 
 }
--- a/Libraries/LibSettings/Publication.h
+++ b/Libraries/LibSettings/Publication.h
@@ -6,11 +6,11 @@
 
 namespace Stagepost {
 
-// The log stream that carries configuration.
+// The log stream to which settings are published.
 inline constexpr char const* settingsStream = "settings";
 
-// One record of the settings stream: a change that an operator made, or a
-// snapshot that repeats accepted state before the log forgets it.
+// One record of the settings stream: a change by an operator, or a snapshot that repeats the
+// accepted settings before the log's retention removes them.
 struct Publication {
     enum class Kind {
         Change,
@@ -18,11 +18,11 @@
     };
 
     Kind kind { Kind::Change };
-    // For a change, the revision that it was made from; for a snapshot, the one it repeats.
+    // For a change, the revision that it is based on. For a snapshot, the one that it repeats.
     Revision revision;
-    // For a snapshot: all records before this offset are taken into account in it.
+    // For a snapshot: it covers all records before this offset.
     Offset upTo;
-    // Tells a publisher's own record from another's with the same content.
+    // Lets a publisher tell its own record from another's with the same content.
     std::string nonce;
     std::string author;
     std::string toml;
