--- a/Libraries/LibSettings/PublicationReader.cpp
+++ b/Libraries/LibSettings/PublicationReader.cpp
@@ -11,23 +11,23 @@
         m_accepted = AcceptedSettings {};
 }
 
-PublicationReader::Outcome PublicationReader::take(Offset offset, std::string_view record)
+PublicationReader::Outcome PublicationReader::apply(Offset offset, std::string_view record)
 {
     assert(offset == m_position);
     m_position = Offset(offset.value() + 1);
     auto const publication = Publication::fromRecord(record);
     auto outcome = Outcome::Ignored;
     if (publication)
-        outcome = publication->kind == Publication::Kind::Change ? takeChange(*publication) : takeSnapshot(*publication);
+        outcome = publication->kind == Publication::Kind::Change ? applyChange(*publication) : applySnapshot(*publication);
     if (m_accepted)
         m_accepted->upTo = m_position;
     return outcome;
 }
 
-PublicationReader::Outcome PublicationReader::takeChange(Publication const& change)
+PublicationReader::Outcome PublicationReader::applyChange(Publication const& change)
 {
     if (!m_accepted) {
-        m_unplaced.emplace_back(Offset(m_position.value() - 1), change);
+        m_pendingChanges.emplace_back(Offset(m_position.value() - 1), change);
         return Outcome::Unknown;
     }
     if (change.revision != m_accepted->revision)
@@ -41,30 +41,31 @@
     return Outcome::Accepted;
 }
 
-// A snapshot helps only a reader that knows nothing, and only if this reader has
-// itself read every record that the snapshot does not cover: a snapshot may reach
-// the log after a change that it does not know of, and that change must not be lost.
-PublicationReader::Outcome PublicationReader::takeSnapshot(Publication const& snapshot)
+// A snapshot is used only by a reader without accepted settings, and only if that reader has
+// read every record that the snapshot doesn't cover: a change may have been appended between
+// the snapshot's upTo and the snapshot itself, and must not be lost.
+PublicationReader::Outcome PublicationReader::applySnapshot(Publication const& snapshot)
 {
-    if (m_accepted || snapshot.upTo < m_runStart)
+    if (m_accepted || snapshot.upTo < m_contiguousFrom)
         return Outcome::Ignored;
     m_accepted = AcceptedSettings { snapshot.revision, m_position, snapshot.toml, snapshot.author, snapshot.nonce };
-    std::erase_if(m_unplaced, [&](auto const& entry) { return entry.first < snapshot.upTo; });
-    replayUnplaced();
+    std::erase_if(m_pendingChanges, [&](auto const& entry) { return entry.first < snapshot.upTo; });
+    applyPendingChanges();
     return Outcome::Accepted;
 }
 
-void PublicationReader::replayUnplaced()
+void PublicationReader::applyPendingChanges()
 {
-    auto const changes = std::exchange(m_unplaced, {});
+    auto const changes = std::exchange(m_pendingChanges, {});
     for (auto const& [offset, change] : changes)
-        takeChange(change);
+        applyChange(change);
 }
 
 bool PublicationReader::adopt(AcceptedSettings const& peer)
 {
-    // Going on from an offset of the log before would pass over what stands below it now.
-    if (m_hasReadAgain && m_accepted) {
+    // The peer's offset may be from before the restore of the log. Continuing there would skip
+    // the records that now precede it.
+    if (m_hasRestarted && m_accepted) {
         if (peer.revision <= m_accepted->revision)
             return false;
         m_accepted = peer;
@@ -76,27 +77,27 @@
     if (m_accepted && peer.revision < m_accepted->revision)
         return false;
     m_accepted = peer;
-    m_unplaced.clear();
+    m_pendingChanges.clear();
     m_position = peer.upTo;
-    m_runStart = peer.upTo;
+    m_contiguousFrom = peer.upTo;
     return true;
 }
 
-void PublicationReader::readAgainFrom(Offset first)
+void PublicationReader::restartFrom(Offset first)
 {
-    m_unplaced.clear();
+    m_pendingChanges.clear();
     m_position = first;
-    m_runStart = first;
-    m_hasReadAgain = true;
+    m_contiguousFrom = first;
+    m_hasRestarted = true;
 }
 
 void PublicationReader::skipTo(Offset offset)
 {
     assert(offset >= m_position);
     m_accepted.reset();
-    m_unplaced.clear();
+    m_pendingChanges.clear();
     m_position = offset;
-    m_runStart = offset;
+    m_contiguousFrom = offset;
 }
 
 }
--- a/Libraries/LibSettings/PublicationReader.h
+++ b/Libraries/LibSettings/PublicationReader.h
@@ -9,22 +9,22 @@
 
 namespace Stagepost {
 
-// The accepted configuration and how far the stream was read to know it.
+// The accepted settings and the position in the stream up to which they are known.
 struct AcceptedSettings {
     Revision revision;
-    // All records before this offset are taken into account.
+    // All records before this offset are covered.
     Offset upTo;
     std::string toml;
     std::string author;
     std::string nonce;
 };
 
-// Folds the settings stream, in offset order, into the accepted configuration.
-// Every reader uses the same rule, so all agree: a change is accepted if, and
-// only if, it was made from the current revision and is valid.
+// Applies the records of the settings stream in offset order and so determines the accepted
+// settings. The rule is deterministic, so all readers agree: a change is accepted if and only
+// if it is based on the current revision and valid.
 //
-// A reader that starts in the middle of the stream knows nothing until it finds
-// a snapshot from which it can read on without a gap.
+// A reader that starts in the middle of the stream has no accepted settings until it finds a
+// snapshot after which it has read all records without a gap.
 class PublicationReader {
 public:
     enum class Outcome {
@@ -32,52 +32,56 @@
         Conflict,
         Ignored,
         Invalid,
-        // The reader has no base yet and has to find a snapshot.
+        // Undecided: the reader has no accepted settings yet and must first find a snapshot.
         Unknown,
     };
 
-    // The hook says whether a tree is valid; it must depend on the text alone.
-    using ValidHook = std::function<bool(std::string const& toml)>;
+    // Returns whether settings are valid. The result must depend on the text alone, or else
+    // readers would disagree.
+    using Validator = std::function<bool(std::string const& toml)>;
 
-    explicit PublicationReader(ValidHook isValid)
+    explicit PublicationReader(Validator isValid)
         : m_isValid(std::move(isValid))
     {
     }
 
-    // Says that the stream has been read from its very first record, so that the
-    // empty configuration, revision 0, is the base.
+    // Starts with the empty settings, revision 0. To be called only if the stream is read from
+    // its very first record.
     void startAtBeginning();
 
-    // Takes the next record. Records must come in offset order, without a gap.
-    Outcome take(Offset, std::string_view record);
+    // Applies the next record. Its offset must be position().
+    Outcome apply(Offset, std::string_view record);
 
-    // Takes state from a peer, if it is newer than what is known; the reader then
-    // goes on from its offset. Returns whether it was taken.
+    // Adopts the settings of a peer that has read further and whose revision isn't older, and
+    // continues at the peer's offset. After restartFrom() a reader that has accepted settings
+    // compares the revisions only and keeps its position. Returns whether it adopted them.
     bool adopt(AcceptedSettings const&);
 
-    // The offset that the next record to take must have.
+    // The offset of the next record to apply.
     Offset position() const { return m_position; }
-    // Jumps to an offset because the records before it are gone from the log.
+    // Continues at an offset after the log's retention removed the records before it. The
+    // reader drops its accepted settings and needs a snapshot.
     void skipTo(Offset);
-    // Reads on from the log's first record, since offsets have been given out again. What is
-    // accepted stays.
-    void readAgainFrom(Offset first);
+    // Continues at the log's first record after a restore of the log from a backup, in which
+    // offsets are reused. The accepted settings stay.
+    void restartFrom(Offset first);
 
     std::optional<AcceptedSettings> const& accepted() const { return m_accepted; }
 
 private:
-    Outcome takeChange(Publication const&);
-    Outcome takeSnapshot(Publication const&);
-    void replayUnplaced();
+    Outcome applyChange(Publication const&);
+    Outcome applySnapshot(Publication const&);
+    void applyPendingChanges();
 
-    ValidHook m_isValid;
+    Validator m_isValid;
     Offset m_position;
-    // Offsets of others may be of the log before.
-    bool m_hasReadAgain { false };
-    // The first offset of the run without a gap that has been read.
-    Offset m_runStart;
-    // Changes of that run that were read before any snapshot gave them a base.
-    std::vector<std::pair<Offset, Publication>> m_unplaced;
+    // Whether restartFrom() was called. Offsets of peers may then refer to the log before the
+    // restore and can't be used.
+    bool m_hasRestarted { false };
+    // All records from this offset up to m_position have been read.
+    Offset m_contiguousFrom;
+    // Changes in that range that can't be decided before a snapshot is found.
+    std::vector<std::pair<Offset, Publication>> m_pendingChanges;
     std::optional<AcceptedSettings> m_accepted;
 };
 
--- a/Tests/LibSettings/TestPublicationReader.cpp
+++ b/Tests/LibSettings/TestPublicationReader.cpp
@@ -25,32 +25,32 @@
     return PublicationReader([](std::string const& toml) { return toml != "invalid"; });
 }
 
-// A log with truncation and readers that come and go, driven by random steps.
-struct World {
+// A simulated log whose first records can be removed by retention.
+struct SimulatedLog {
     std::vector<std::string> records;
     uint64_t first { 0 };
 
-    // What the whole log, read from its beginning, makes of each revision.
-    std::map<uint64_t, std::string> truth() const
+    // The text of each revision, as determined by reading the whole log from its beginning.
+    std::map<uint64_t, std::string> expectedRevisions() const
     {
         auto reader = makeReader();
         reader.startAtBeginning();
         std::map<uint64_t, std::string> result;
         for (uint64_t offset = 0; offset < records.size(); ++offset) {
-            reader.take(Offset(offset), records[offset]);
+            reader.apply(Offset(offset), records[offset]);
             result[reader.accepted()->revision.value()] = reader.accepted()->toml;
         }
         return result;
     }
 
-    void catchUp(PublicationReader& reader, uint64_t most)
+    void catchUp(PublicationReader& reader, uint64_t maxRecords)
     {
         if (first > reader.position().value())
             reader.skipTo(Offset(first));
         if (!first && reader.position().isNull())
             reader.startAtBeginning();
-        for (uint64_t count = 0; count < most && reader.position().value() < records.size(); ++count)
-            reader.take(reader.position(), records[reader.position().value()]);
+        for (uint64_t count = 0; count < maxRecords && reader.position().value() < records.size(); ++count)
+            reader.apply(reader.position(), records[reader.position().value()]);
     }
 };
 
@@ -62,8 +62,8 @@
 {
     auto reader = makeReader();
     reader.startAtBeginning();
-    BOOST_TEST((reader.take(Offset(0), change(0, "a")) == Outcome::Accepted));
-    BOOST_TEST((reader.take(Offset(1), change(0, "b")) == Outcome::Conflict));
+    BOOST_TEST((reader.apply(Offset(0), change(0, "a")) == Outcome::Accepted));
+    BOOST_TEST((reader.apply(Offset(1), change(0, "b")) == Outcome::Conflict));
     BOOST_TEST(reader.accepted()->toml == "a");
     BOOST_TEST(reader.accepted()->revision.value() == 1u);
 }
@@ -72,44 +72,44 @@
 {
     auto reader = makeReader();
     reader.startAtBeginning();
-    BOOST_TEST((reader.take(Offset(0), change(0, "invalid")) == Outcome::Invalid));
-    BOOST_TEST((reader.take(Offset(1), "{") == Outcome::Ignored));
-    BOOST_TEST((reader.take(Offset(2), change(0, "a")) == Outcome::Accepted));
+    BOOST_TEST((reader.apply(Offset(0), change(0, "invalid")) == Outcome::Invalid));
+    BOOST_TEST((reader.apply(Offset(1), "{") == Outcome::Ignored));
+    BOOST_TEST((reader.apply(Offset(2), change(0, "a")) == Outcome::Accepted));
 }
 
-BOOST_AUTO_TEST_CASE(AChangeBetweenASnapshotAndItsPlaceIsNotLost)
+BOOST_AUTO_TEST_CASE(AChangeAppendedBeforeAnOlderSnapshotIsNotLost)
 {
     // The snapshot of revision 1 reaches the log after the change to revision 2.
     auto reader = makeReader();
     reader.skipTo(Offset(5));
-    BOOST_TEST((reader.take(Offset(5), change(1, "two")) == Outcome::Unknown));
-    BOOST_TEST((reader.take(Offset(6), snapshot(1, 5, "one")) == Outcome::Accepted));
+    BOOST_TEST((reader.apply(Offset(5), change(1, "two")) == Outcome::Unknown));
+    BOOST_TEST((reader.apply(Offset(6), snapshot(1, 5, "one")) == Outcome::Accepted));
     BOOST_TEST(reader.accepted()->revision.value() == 2u);
     BOOST_TEST(reader.accepted()->toml == "two");
 }
 
-BOOST_AUTO_TEST_CASE(ASnapshotWithAGapBeforeItIsNoBase)
+BOOST_AUTO_TEST_CASE(ASnapshotAfterAGapIsIgnored)
 {
     auto reader = makeReader();
     reader.skipTo(Offset(6));
-    BOOST_TEST((reader.take(Offset(6), snapshot(1, 5, "one")) == Outcome::Ignored));
+    BOOST_TEST((reader.apply(Offset(6), snapshot(1, 5, "one")) == Outcome::Ignored));
     BOOST_TEST(!reader.accepted().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(APeersStateIsTakenOnlyWhenItIsNewer)
+BOOST_AUTO_TEST_CASE(APeersSettingsAreAdoptedOnlyIfNewer)
 {
     auto reader = makeReader();
     reader.startAtBeginning();
-    reader.take(Offset(0), change(0, "a"));
+    reader.apply(Offset(0), change(0, "a"));
     BOOST_TEST(!reader.adopt({ Revision(0), Offset(0), "", "", "" }));
     BOOST_TEST(reader.adopt({ Revision(3), Offset(9), "c", "", "" }));
-    BOOST_TEST((reader.take(Offset(9), change(3, "d")) == Outcome::Accepted));
+    BOOST_TEST((reader.apply(Offset(9), change(3, "d")) == Outcome::Accepted));
 }
 
 BOOST_AUTO_TEST_CASE(AllReadersAgreeAndNoneReverts)
 {
     BOOST_TEST(rc::check("racing publishers, truncation, snapshots, restarts and peers", [](std::vector<uint32_t> const& steps) {
-        World world;
+        SimulatedLog log;
         std::vector<PublicationReader> readers(3, makeReader());
         std::vector<uint64_t> highest(3, 0);
         for (auto const step : steps) {
@@ -119,20 +119,20 @@
             switch (step % 7) {
             case 0:
             case 1:
-                // Publishers work from whatever this reader knows, however stale.
+                // Publishers base changes on what this reader knows, even if it is outdated.
                 if (known)
-                    world.records.push_back(change(known->revision.value(), "t" + std::to_string(world.records.size())));
+                    log.records.push_back(change(known->revision.value(), "t" + std::to_string(log.records.size())));
                 break;
             case 2:
                 if (known)
-                    world.records.push_back(snapshot(known->revision.value(), known->upTo.value(), known->toml));
+                    log.records.push_back(snapshot(known->revision.value(), known->upTo.value(), known->toml));
                 break;
             case 3:
-                if (!world.records.empty())
-                    world.first += (step >> 16) % (world.records.size() - world.first + 1);
+                if (!log.records.empty())
+                    log.first += (step >> 16) % (log.records.size() - log.first + 1);
                 break;
             case 4:
-                // A restart forgets everything.
+                // A restart loses all state.
                 reader = makeReader();
                 highest[who] = 0;
                 break;
@@ -141,15 +141,15 @@
                     reader.adopt(*other);
                 break;
             default:
-                world.catchUp(reader, 1 + (step >> 16) % 4);
+                log.catchUp(reader, 1 + (step >> 16) % 4);
             }
-            auto const truth = world.truth();
+            auto const expected = log.expectedRevisions();
             for (size_t index = 0; index < readers.size(); ++index) {
                 auto const& accepted = readers[index].accepted();
                 if (!accepted || accepted->revision.isNull())
                     continue;
-                RC_ASSERT(truth.contains(accepted->revision.value()));
-                RC_ASSERT(truth.at(accepted->revision.value()) == accepted->toml);
+                RC_ASSERT(expected.contains(accepted->revision.value()));
+                RC_ASSERT(expected.at(accepted->revision.value()) == accepted->toml);
                 RC_ASSERT(accepted->revision.value() >= highest[index]);
                 highest[index] = accepted->revision.value();
             }
@@ -157,13 +157,14 @@
     }));
 }
 
-// The log came back from a copy: offsets of those who have not seen it are of another log.
-BOOST_AUTO_TEST_CASE(AfterALossOffsetsOfOthersCountForNothing)
+// Guards against skipped records after the log is restored from a backup: a peer that has not
+// noticed the restore still reports an offset of the old log, at which reading must not go on.
+BOOST_AUTO_TEST_CASE(AfterALogRestoreOffsetsOfPeersAreIgnored)
 {
     auto reader = makeReader();
     reader.startAtBeginning();
-    reader.take(Offset(0), change(0, "one"));
-    reader.readAgainFrom(Offset(0));
+    reader.apply(Offset(0), change(0, "one"));
+    reader.restartFrom(Offset(0));
     BOOST_TEST((reader.accepted()->toml == "one"));
     AcceptedSettings peer { Revision(1), Offset(9), "one", "me", "n" };
     BOOST_TEST(!reader.adopt(peer));
@@ -171,8 +172,8 @@
     peer.toml = "two";
     BOOST_TEST(reader.adopt(peer));
     BOOST_TEST(reader.position().value() == 0u);
-    // What stands at an offset that was read before.
-    BOOST_TEST((reader.take(Offset(0), change(2, "three")) == Outcome::Accepted));
+    // A new record at an offset that was read before the restore.
+    BOOST_TEST((reader.apply(Offset(0), change(2, "three")) == Outcome::Accepted));
     BOOST_TEST(reader.accepted()->toml == "three");
 }
 
