--- a/Libraries/LibSettings/RouteTable.cpp
+++ b/Libraries/LibSettings/RouteTable.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-    uint64_t placeHashOf(std::string_view host, std::string_view prefix)
+    uint64_t lookupHashOf(std::string_view host, std::string_view prefix)
     {
         return mixHashes(hashOf(host), hashOf(prefix));
     }
 
-    bool isAt(Route const& route, std::string_view host, std::string_view prefix)
+    bool hasHostAndPrefix(Route const& route, std::string_view host, std::string_view prefix)
     {
         return route.host == host && route.pathPrefix == prefix;
     }
@@ -24,7 +24,7 @@
 
 RouteEntry::RouteEntry(Route newRoute)
     : route(std::make_shared<Route const>(std::move(newRoute)))
-    , placeHash(placeHashOf(route->host, route->pathPrefix))
+    , lookupHash(lookupHashOf(route->host, route->pathPrefix))
     , prefixLength(route->pathPrefix.size())
 {
 }
@@ -32,37 +32,37 @@
 RouteTable::RouteTable(Parts parts)
     : m_parts(std::move(parts))
 {
-    index();
+    buildIndex();
 }
 
-void RouteTable::index()
+void RouteTable::buildIndex()
 {
-    // At the most half of the slots are taken, so that few lie between one's own and the
-    // next free one.
+    // The load factor is at most one half, which keeps probe sequences short.
     m_slots.resize(std::bit_ceil(2 * m_parts.routes.size() + 1));
     std::set<size_t, std::greater<>> lengths;
-    for (size_t number = 0; number < m_parts.routes.size(); ++number) {
-        addToIndex(number);
-        lengths.insert(m_parts.routes[number].prefixLength);
+    for (size_t routeIndex = 0; routeIndex < m_parts.routes.size(); ++routeIndex) {
+        insertIntoIndex(routeIndex);
+        lengths.insert(m_parts.routes[routeIndex].prefixLength);
     }
     m_prefixLengths.assign(lengths.begin(), lengths.end());
 }
 
-// Of two routes at one place the first serves: it stands before the other.
-void RouteTable::addToIndex(size_t route)
+// Of two routes with the same host and prefix the first is found, since it is inserted first
+// and therefore probed first.
+void RouteTable::insertIntoIndex(size_t routeIndex)
 {
-    auto slot = slotOf(m_parts.routes[route].placeHash);
+    auto slot = slotOf(m_parts.routes[routeIndex].lookupHash);
     while (m_slots[slot])
         slot = slotOf(slot + 1);
-    m_slots[slot] = static_cast<uint32_t>(route + 1);
+    m_slots[slot] = static_cast<uint32_t>(routeIndex + 1);
 }
 
-Route const* RouteTable::routeAt(std::string_view host, std::string_view prefix) const
+Route const* RouteTable::findExact(std::string_view host, std::string_view prefix) const
 {
-    auto const hash = placeHashOf(host, prefix);
+    auto const hash = lookupHashOf(host, prefix);
     for (auto slot = slotOf(hash); m_slots[slot]; slot = slotOf(slot + 1)) {
         auto const& entry = m_parts.routes[m_slots[slot] - 1];
-        if (entry.placeHash == hash && isAt(*entry.route, host, prefix))
+        if (entry.lookupHash == hash && hasHostAndPrefix(*entry.route, host, prefix))
             return entry.route.get();
     }
     return nullptr;
@@ -74,7 +74,7 @@
     for (auto const length : m_prefixLengths) {
         if (length > path.size())
             continue;
-        if (auto const* route = routeAt(name, path.substr(0, length)))
+        if (auto const* route = findExact(name, path.substr(0, length)))
             return route;
     }
     return nullptr;
--- a/Libraries/LibSettings/RouteTable.h
+++ b/Libraries/LibSettings/RouteTable.h
@@ -11,14 +11,14 @@
 
 namespace Stagepost {
 
-// What may be done with a request of a route after it was sent to an upstream.
+// Whether a request of a route may be retried after it was sent to an upstream.
 enum class RequestKind : uint8_t {
-    // It may run more than once.
-    Repeatable,
-    // It runs at most once.
-    Once,
-    // Its answer is a stream of events; it runs at most once, unless the route
-    // says that a stream may be taken up again.
+    // May run more than once.
+    Idempotent,
+    // Runs at most once.
+    AtMostOnce,
+    // The response is a stream of events. The request runs at most once, unless streams of the
+    // route are resumable.
     Stream,
 };
 
@@ -28,67 +28,68 @@
     uint32_t weight { 1 };
 };
 
-// Where requests of one host and path go, and what they are promised.
+// The services for requests of one host and path prefix, with their limits and objectives.
 struct Route {
     std::string name;
     std::string host;
     // Begins and ends with a slash.
     std::string pathPrefix;
-    RequestKind kind { RequestKind::Once };
-    // The longest that a request may be held.
+    RequestKind kind { RequestKind::AtMostOnce };
+    // The longest time that a request may take.
     Milliseconds timeout { 60000 };
-    // Within which an answer, or the first event of a stream, is in time.
+    // The objective for the time to a response, or to the first event of a stream.
     Milliseconds latencyObjective { 1000 };
-    // The longest pause between two events that is still in time.
+    // The objective for the time between two events of a stream.
     std::optional<Milliseconds> gapObjective;
     // 0 is the most urgent.
     unsigned priority { 5 };
-    // To how many upstreams one request may be sent.
-    size_t mostAttempts { 1 };
-    // Whether requests need no key.
+    // The number of upstreams to which one request may be sent.
+    size_t maxAttempts { 1 };
+    // Whether requests need no API key.
     bool isPublic { false };
-    // Whether requests find earlier context at their upstreams.
+    // Whether upstreams keep the context of a request for later ones, so that requests are
+    // placed where their context is.
     bool keepsContext { false };
     bool isResumable { false };
     std::vector<ServiceShare> shares;
 
     // Whether a request that may have run can be sent again.
-    bool isRepeatable() const { return kind == RequestKind::Repeatable || (kind == RequestKind::Stream && isResumable); }
+    bool isRepeatable() const { return kind == RequestKind::Idempotent || (kind == RequestKind::Stream && isResumable); }
 };
 
-// A route as a table holds it, with what its place is found by: a table of thousands is
-// made anew for each change, and does not touch the routes themselves for that.
+// A route with its precomputed lookup values. A table of thousands of routes is rebuilt for each
+// change of the configuration; thanks to these values it need not read the routes themselves.
 struct RouteEntry {
     explicit RouteEntry(Route);
 
     std::shared_ptr<Route const> route;
-    // Of the host and the prefix.
-    uint64_t placeHash { 0 };
+    // The hash of the host and the path prefix.
+    uint64_t lookupHash { 0 };
     size_t prefixLength { 0 };
 };
 
 // Upstreams that serve the same requests.
 struct Service {
     std::string name;
-    // How many connections each upstream takes from all callers together.
-    size_t mostConnections { 0 };
-    // How many tokens of contexts each upstream keeps; 0 where it keeps none.
+    // The number of connections that each upstream accepts from all callers together.
+    size_t maxConnections { 0 };
+    // The capacity for contexts of each upstream in tokens, 0 if it keeps none.
     uint64_t contextTokens { 0 };
-    // Whether its upstreams take contexts from one another.
+    // Whether its upstreams can fetch contexts from one another.
     bool movesContexts { false };
-    // How many requests a second an upstream handles while it is cold, 0 where none ever is;
-    // and how long it is after its start.
+    // The rate of requests that a cold upstream handles, 0 if upstreams are never cold, and how
+    // long an upstream stays cold after its start.
     double coldPerSecond { 0 };
     Milliseconds coldDuration { 0 };
 };
 
 struct RoutedOrganisation {
     std::string name;
-    // Goes before the priority of the route.
+    // Overrides the priority of the route.
     std::optional<unsigned> priority;
 };
 
-// What callers are held to.
+// The limits that are enforced on callers' connections and requests.
 struct CallerLimits {
     size_t headerBytes { 16384 };
     size_t bodyBytes { 8388608 };
@@ -96,20 +97,20 @@
     Milliseconds idleTimeout { 75000 };
 };
 
-// One accepted configuration of routes, services and keys.
+// One accepted configuration of routes, services and API keys. It is immutable.
 class RouteTable {
 public:
     struct Parts {
-        // Rises with each configuration, in uneven steps.
+        // Increases with each configuration, not necessarily by 1.
         uint64_t version { 0 };
-        // Shared with the table before it where they have not changed: of thousands of
-        // routes a change touches a few.
+        // Unchanged routes are shared with the previous table, because a change affects only a
+        // few of thousands.
         std::vector<RouteEntry> routes;
         std::vector<Service> services;
         std::vector<RoutedOrganisation> organisations;
-        // Each key with the index of its organisation.
+        // Maps each API key to an index into organisations.
         std::unordered_map<std::string, size_t> organisationByKey;
-        // Whether callers need keys at all.
+        // Whether the configuration lists organisations, so that callers need API keys.
         bool hasOrganisations { false };
         CallerLimits limits;
     };
@@ -122,24 +123,24 @@
     size_t routeCount() const { return m_parts.routes.size(); }
     bool needsKeys() const { return m_parts.hasOrganisations; }
 
-    // The route of that host with the longest prefix of the path, or none. A port
-    // behind the host is passed over.
+    // The route of the host with the longest matching path prefix, or null. A port after the
+    // host is ignored.
     Route const* find(std::string_view host, std::string_view path) const;
     Service const* service(std::string_view name) const;
     RoutedOrganisation const* organisationOf(std::string const& key) const;
 
 private:
-    void index();
-    void addToIndex(size_t route);
-    Route const* routeAt(std::string_view host, std::string_view prefix) const;
-    size_t slotOf(uint64_t placeHash) const { return placeHash & (m_slots.size() - 1); }
+    void buildIndex();
+    void insertIntoIndex(size_t routeIndex);
+    Route const* findExact(std::string_view host, std::string_view prefix) const;
+    size_t slotOf(uint64_t lookupHash) const { return lookupHash & (m_slots.size() - 1); }
 
     Parts m_parts;
-    // An open hash table: each slot holds the number of a route from 1 on, or 0. Its size
-    // is a power of two.
+    // A hash table with open addressing and linear probing. A slot holds the index of a route
+    // plus 1, or 0 if it is empty. The size is a power of two.
     std::vector<uint32_t> m_slots;
-    // The lengths that prefixes have, the longest first. A request is looked up once for
-    // each of these few, and not once for each of the thousands of routes of its host.
+    // The distinct lengths of path prefixes, the longest first. There are few of them, so a
+    // lookup for each is cheaper than comparing the thousands of routes of a host.
     std::vector<size_t> m_prefixLengths;
 };
 
--- a/Libraries/LibSettings/Settings.h
+++ b/Libraries/LibSettings/Settings.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The public header of LibSettings: the tree that operators publish, its schema,
-// and the rule by which every reader of the log accepts the same revisions.
+// The public header of LibSettings: the settings tree that operators publish, its schema, the
+// rule by which all readers of the log accept the same revisions, and the table of routes.
 
 #include <LibSettings/FleetSettings.h>
 #include <LibSettings/Publication.h>
--- a/Tests/LibSettings/TestRouteTable.cpp
+++ b/Tests/LibSettings/TestRouteTable.cpp
@@ -39,7 +39,7 @@
     BOOST_TEST(!routes.find("c.example", "/a/"));
 }
 
-BOOST_AUTO_TEST_CASE(OfTwoRoutesOfOnePlaceTheFirstServes)
+BOOST_AUTO_TEST_CASE(OfTwoRoutesWithTheSameHostAndPrefixTheFirstWins)
 {
     RouteTable::Parts parts;
     parts.routes = { route("first", "a.example", "/a/"), route("second", "a.example", "/a/"), route("all", "a.example", "/") };
@@ -63,7 +63,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(KeysNameTheirOrganisation)
+BOOST_AUTO_TEST_CASE(ApiKeysIdentifyTheirOrganisation)
 {
     auto const routes = table();
     BOOST_TEST(routes.organisationOf("k1")->name == "club");
@@ -74,18 +74,18 @@
     BOOST_TEST(!routes.service("none"));
 }
 
-BOOST_AUTO_TEST_CASE(OnlyResumableStreamsAndRepeatableRequestsMayRunAgain)
+BOOST_AUTO_TEST_CASE(OnlyResumableStreamsAndIdempotentRequestsAreRepeatable)
 {
-    Route once;
-    BOOST_TEST(!once.isRepeatable());
-    once.kind = RequestKind::Stream;
-    BOOST_TEST(!once.isRepeatable());
-    once.isResumable = true;
-    BOOST_TEST(once.isRepeatable());
-    once.kind = RequestKind::Once;
-    BOOST_TEST(!once.isRepeatable());
-    once.kind = RequestKind::Repeatable;
-    BOOST_TEST(once.isRepeatable());
+    Route route;
+    BOOST_TEST(!route.isRepeatable());
+    route.kind = RequestKind::Stream;
+    BOOST_TEST(!route.isRepeatable());
+    route.isResumable = true;
+    BOOST_TEST(route.isRepeatable());
+    route.kind = RequestKind::AtMostOnce;
+    BOOST_TEST(!route.isRepeatable());
+    route.kind = RequestKind::Idempotent;
+    BOOST_TEST(route.isRepeatable());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
