--- a/Libraries/LibOnce/ClaimGate.cpp
+++ b/Libraries/LibOnce/ClaimGate.cpp
@@ -120,7 +120,7 @@
         return;
     }
     auto& shard = shardFor(key);
-    // Refusals and replays known already need no append. Permission to run always needs one.
+    // A refusal or a replay that is already known needs no append; permission to run always does.
     if (auto const known = knownDecision(shard, key, fingerprint, 0)) {
         callback(*known);
         return;
--- a/Libraries/LibOnce/IdempotencyKey.h
+++ b/Libraries/LibOnce/IdempotencyKey.h
@@ -12,8 +12,8 @@
 // A caller's idempotency key: the hash (XXH3, 128 bits) of its text, seeded with the
 // organisation, and the Unix time at which the key was created, in seconds.
 //
-// A key's text starts with its creation time, as in "1764680000-hold-4711". Without it
-// a key that has expired from memory could not be told from a new one, and refused.
+// A key's text starts with its creation time, as in "1764680000-hold-4711". Only the time
+// distinguishes a key whose state has expired, and which must be refused, from a new one.
 struct IdempotencyKey {
     uint64_t high { 0 };
     uint64_t low { 0 };
--- a/Libraries/LibSettings/RouteTable.h
+++ b/Libraries/LibSettings/RouteTable.h
@@ -77,8 +77,8 @@
     uint64_t contextTokens { 0 };
     // Whether its upstreams can fetch contexts from one another.
     bool movesContexts { false };
-    // The rate of requests that a cold upstream handles, 0 if upstreams are never cold, and how
-    // long an upstream stays cold after its start.
+    // The requests per second that a cold upstream handles, 0 if upstreams are never cold, and
+    // how long an upstream stays cold after its start.
     double coldPerSecond { 0 };
     Milliseconds coldDuration { 0 };
 };
