--- a/Libraries/LibOnce/ClaimRecord.cpp
+++ b/Libraries/LibOnce/ClaimRecord.cpp
@@ -13,18 +13,18 @@
         writer.number(static_cast<uint64_t>(record.step));
         writer.number(record.key.high);
         writer.number(record.key.low);
-        writer.number(static_cast<uint64_t>(record.key.madeAt));
+        writer.number(static_cast<uint64_t>(record.key.createdAt));
         writer.number(record.nonce);
         if (record.step == Step::Claim)
             writer.number(record.fingerprint);
         if (record.step == Step::Done) {
-            writer.number(record.answer.status);
-            writer.text(record.answer.contentType);
-            writer.text(record.answer.body);
-            writer.number(record.answer.isWhole);
+            writer.number(record.response.status);
+            writer.text(record.response.contentType);
+            writer.text(record.response.body);
+            writer.number(record.response.isComplete);
         }
     }
-    // The log's records are texts.
+    // Log records must be text.
     return hexOfBytes(writer.release());
 }
 
@@ -35,25 +35,25 @@
     while (!reader.failed() && !reader.finished()) {
         ClaimRecord record;
         auto const step = reader.number();
-        if (step > static_cast<uint64_t>(Step::Return))
-            return Error(ErrorCode::Malformed, "a step of a claim that is not known");
+        if (step > static_cast<uint64_t>(Step::LogRestored))
+            return Error(ErrorCode::Malformed, "unknown step " + std::to_string(step) + " in a claim record");
         record.step = static_cast<Step>(step);
         record.key.high = reader.number();
         record.key.low = reader.number();
-        record.key.madeAt = static_cast<int64_t>(reader.number());
+        record.key.createdAt = static_cast<int64_t>(reader.number());
         record.nonce = reader.number();
         if (record.step == Step::Claim)
             record.fingerprint = reader.number();
         if (record.step == Step::Done) {
-            record.answer.status = static_cast<unsigned>(reader.number());
-            record.answer.contentType = reader.text();
-            record.answer.body = reader.text();
-            record.answer.isWhole = reader.number() != 0;
+            record.response.status = static_cast<unsigned>(reader.number());
+            record.response.contentType = reader.text();
+            record.response.body = reader.text();
+            record.response.isComplete = reader.number() != 0;
         }
         records.push_back(std::move(record));
     }
     if (reader.failed())
-        return Error(ErrorCode::Malformed, "a record of claims is not understood");
+        return Error(ErrorCode::Malformed, "truncated or damaged claim record");
     return records;
 }
 
--- a/Libraries/LibOnce/Forward.h
+++ b/Libraries/LibOnce/Forward.h
@@ -2,12 +2,12 @@
 
 namespace Stagepost {
 
-class AppendBudget;
+class AppendRateLimiter;
 class ClaimGate;
 class ClaimTable;
-class TicketBook;
+class TicketRegistry;
 struct ClaimRecord;
-struct OnceKey;
-struct RecordedAnswer;
+struct IdempotencyKey;
+struct RecordedResponse;
 
 }
--- a/Meta/Measure/OnceMeasurement.cpp
+++ b/Meta/Measure/OnceMeasurement.cpp
@@ -1,7 +1,7 @@
 #include <Measure/Measurements.h>
 
 #include <LibOnce/Once.h>
-#include <LibOnce/OnceWorld.h>
+#include <LibOnce/OnceSimulation.h>
 #include <Measure/LoadClient.h>
 #include <Measure/Statistics.h>
 #include <iostream>
@@ -99,7 +99,7 @@
         auto const count = static_cast<size_t>(claimsPerSecond * seconds);
         for (size_t index = 0; index < count; ++index) {
             events.at(instantAt(static_cast<double>(index) / claimsPerSecond), [&, index] {
-                auto const key = OnceKey::parse("1000-" + std::to_string(index), 1).value();
+                auto const key = IdempotencyKey::parse("1000-" + std::to_string(index), 1).value();
                 gate.claim(key, 1, events.now(), [&, key](ClaimGate::Decision const& decision) {
                     if (auto const* run = std::get_if<ClaimGate::MayRun>(&decision))
                         gate.done(key, run->nonce, { 200, {}, {}, true }, events.now());
@@ -122,21 +122,21 @@
         ClaimTable table;
         for (size_t index = 0; index < keys; ++index) {
             ClaimRecord record;
-            record.key = OnceKey::parse("1000-" + std::to_string(index), 1).value();
+            record.key = IdempotencyKey::parse("1000-" + std::to_string(index), 1).value();
             record.nonce = index;
             table.apply(record);
         }
         return static_cast<double>(mallinfo2().uordblks - before) / keys;
     }
 
-    Tests::OnceWorld::Counts faultedCalls(uint64_t atLeast, bool isGuarded)
+    Tests::OnceSimulation::Counts faultedCalls(uint64_t atLeast, bool isGuarded)
     {
-        Tests::OnceWorld::Counts sum;
+        Tests::OnceSimulation::Counts sum;
         for (uint64_t seed = 1; sum.faulted < atLeast; ++seed) {
-            Tests::OnceWorld::Options options;
+            Tests::OnceSimulation::Options options;
             options.seed = seed;
-            options.isGuarded = isGuarded;
-            auto const counts = Tests::OnceWorld(options).run(1000);
+            options.enforcesAtMostOnce = isGuarded;
+            auto const counts = Tests::OnceSimulation(options).run(1000);
             sum.calls += counts.calls;
             sum.faulted += counts.faulted;
             sum.duplicates += counts.duplicates;
--- a/Services/stagepostd/GatewayRequestHandler.cpp
+++ b/Services/stagepostd/GatewayRequestHandler.cpp
@@ -24,7 +24,7 @@
         AttemptLimits terms;
         terms.isRepeatable = route.isRepeatable();
         terms.isStream = route.kind == RequestKind::Stream;
-        terms.maxSends = route.mostAttempts;
+        terms.maxSends = route.maxAttempts;
         terms.objective = route.latencyObjective;
         terms.gapObjective = route.gapObjective;
         terms.deadline = request.receivedAt + std::min(route.timeout, request.call.timeLeft.value_or(route.timeout));
@@ -250,9 +250,9 @@
 // The limit of idle connections to each upstream of the service.
 size_t GatewayRequestHandler::idleConnectionLimit(Service const* service) const
 {
-    if (!service || !service->mostConnections)
+    if (!service || !service->maxConnections)
         return std::numeric_limits<size_t>::max();
-    return static_cast<size_t>(idleConnectionsShare * m_services.share() * static_cast<double>(service->mostConnections));
+    return static_cast<size_t>(idleConnectionsShare * m_services.share() * static_cast<double>(service->maxConnections));
 }
 
 GatewaySend GatewayRequestHandler::buildSend(ServicePlacement::Choice const& choice, ServiceTable::Target const& target, Service const* service, Instant now)
--- a/Services/stagepostd/OnceGateway.cpp
+++ b/Services/stagepostd/OnceGateway.cpp
@@ -31,11 +31,11 @@
         return options;
     }
 
-    RecordedAnswer recordOf(ForwardResult const& result)
+    RecordedResponse recordOf(ForwardResult const& result)
     {
-        RecordedAnswer answer;
+        RecordedResponse answer;
         answer.status = result.status;
-        answer.isWhole = result.keptWhole;
+        answer.isComplete = result.keptWhole;
         if (result.keptWhole) {
             answer.contentType = result.kept.headers.find("Content-Type");
             answer.body = result.kept.body;
@@ -97,7 +97,7 @@
 void OnceGateway::renderMetrics(Metrics& metrics) const
 {
     metrics.setGauge("stagepost_once_keys", static_cast<double>(m_claims.keys()));
-    metrics.setGauge("stagepost_once_tickets", static_cast<double>(m_tickets.remembered()));
+    metrics.setGauge("stagepost_once_tickets", static_cast<double>(m_tickets.trackedCount()));
     metrics.setGauge("stagepost_once_bytes", static_cast<double>(m_claims.bytes() + m_tickets.bytes()));
     metrics.setGauge("stagepost_log_appends", static_cast<double>(m_claims.appends()));
 }
@@ -122,7 +122,7 @@
     exchange.respond(m_dependencies.refuse(refusal));
 }
 
-void OnceGateway::replay(Exchange& exchange, RecordedAnswer const& answer)
+void OnceGateway::replay(Exchange& exchange, RecordedResponse const& answer)
 {
     m_dependencies.metrics.count("stagepost_replays_total");
     HttpReply reply { answer.status, {}, answer.body };
@@ -178,19 +178,19 @@
 void OnceGateway::serveTicket(std::shared_ptr<Exchange> const& exchange, CallerRequest const& request)
 {
     Refusal const gone { RefusalReason::TicketHolderGone, Verdict::MayHaveRun, "the daemon that handed the ticket out cannot be reached", {} };
-    auto const decision = m_tickets.use(request.ticket, request.organisation.id, fingerprintOf(exchange->call()));
+    auto const decision = m_tickets.redeem(request.ticket, request.organisation.id, fingerprintOf(exchange->call()));
     if (auto const* refusal = std::get_if<Refusal>(&decision)) {
         refuse(*exchange, *refusal);
-    } else if (auto const* known = std::get_if<TicketBook::Replay>(&decision)) {
-        replay(*exchange, known->answer);
-    } else if (auto const* elsewhere = std::get_if<TicketBook::HeldElsewhere>(&decision)) {
+    } else if (auto const* known = std::get_if<TicketRegistry::Replay>(&decision)) {
+        replay(*exchange, known->response);
+    } else if (auto const* elsewhere = std::get_if<TicketRegistry::HeldElsewhere>(&decision)) {
         auto const* holder = entryOf(elsewhere->holder);
         if (!holder || wasPassedOn(exchange->call()))
             refuse(*exchange, gone);
         else
             passOn(exchange, holder->endpoint, [this, exchange, gone] { refuse(*exchange, gone); });
     } else {
-        auto const serial = std::get<TicketBook::MayRun>(decision).serial;
+        auto const serial = std::get<TicketRegistry::MayRun>(decision).serial;
         m_dependencies.run(exchange, request, [this, serial](RequestFlow::Ending const& ending) {
             if (!ending.refusal)
                 m_tickets.done(serial, recordOf(ending.result));
@@ -204,7 +204,7 @@
 
 void OnceGateway::serveKey(std::shared_ptr<Exchange> const& exchange, CallerRequest const& request)
 {
-    auto const key = OnceKey::parse(request.idempotencyKey, request.organisation.id.value());
+    auto const key = IdempotencyKey::parse(request.idempotencyKey, request.organisation.id.value());
     if (!key) {
         refuse(*exchange, { RefusalReason::BadRequest, Verdict::NotRun, key.error().detail, {} });
         return;
@@ -220,7 +220,7 @@
     passOn(exchange, entry->endpoint, [this, exchange, request, key = *key] { claimHere(exchange, request, key); });
 }
 
-void OnceGateway::claimHere(std::shared_ptr<Exchange> const& exchange, CallerRequest const& request, OnceKey const& key)
+void OnceGateway::claimHere(std::shared_ptr<Exchange> const& exchange, CallerRequest const& request, IdempotencyKey const& key)
 {
     m_claims.claim(key, fingerprintOf(exchange->call()), m_dependencies.loop.now(), [this, exchange, request, key](ClaimGate::Decision const& decision) {
         if (auto const* refusal = std::get_if<Refusal>(&decision)) {
@@ -228,7 +228,7 @@
             return;
         }
         if (auto const* known = std::get_if<ClaimGate::Replay>(&decision)) {
-            replay(*exchange, known->answer);
+            replay(*exchange, known->response);
             return;
         }
         auto const granted = std::get<ClaimGate::MayRun>(decision);
--- a/Services/stagepostd/OnceGateway.h
+++ b/Services/stagepostd/OnceGateway.h
@@ -3,7 +3,7 @@
 #include <LibBase/Authenticator.h>
 #include <LibBase/Metrics.h>
 #include <LibOnce/ClaimGate.h>
-#include <LibOnce/TicketBook.h>
+#include <LibOnce/TicketRegistry.h>
 #include <LibPlatform/LogClient.h>
 #include <LibPlatform/VMList.h>
 #include <LibProxy/EventLoop.h>
@@ -51,10 +51,10 @@
 private:
     void serveTicket(std::shared_ptr<Exchange> const&, CallerRequest const&);
     void serveKey(std::shared_ptr<Exchange> const&, CallerRequest const&);
-    void claimHere(std::shared_ptr<Exchange> const&, CallerRequest const&, OnceKey const&);
+    void claimHere(std::shared_ptr<Exchange> const&, CallerRequest const&, IdempotencyKey const&);
     void passOn(std::shared_ptr<Exchange> const&, Endpoint const& holder, std::function<void()> unreachable);
     void refuse(Exchange&, Refusal const&);
-    void replay(Exchange&, RecordedAnswer const&);
+    void replay(Exchange&, RecordedResponse const&);
     bool wasPassedOn(HttpCall const&) const;
     VMEntry const* entryOf(VMId) const;
     ClaimGate::Hooks claimHooks();
@@ -63,7 +63,7 @@
     Authenticator m_authenticator;
     VMId m_self;
     OnceSettings m_settings;
-    TicketBook m_tickets;
+    TicketRegistry m_tickets;
     ClaimGate m_claims;
     std::shared_ptr<bool> m_alive { std::make_shared<bool>(true) };
 };
--- a/Services/stagepostd/SettingsFollower.cpp
+++ b/Services/stagepostd/SettingsFollower.cpp
@@ -66,7 +66,7 @@
 void SettingsFollower::noteReturn(LogBatch const& batch)
 {
     logEvent(LogLevel::Warning, "log-returned", { { "stream", settingsStream }, { "returns", batch.returns }, { "next", batch.next.value() }, { "known_before", m_reader.position().value() } });
-    m_reader.readAgainFrom(batch.first);
+    m_reader.restartFrom(batch.first);
     m_standsSince = m_loop.now();
     m_snapshotAfter = Microseconds(static_cast<int64_t>(m_random() % static_cast<uint64_t>(longestUntilRepeat)));
 }
@@ -90,7 +90,7 @@
         // A peer's settings may have moved the position on while this was read.
         if (record.offset != m_reader.position())
             continue;
-        m_reader.take(record.offset, record.body);
+        m_reader.apply(record.offset, record.body);
         auto const publication = Publication::fromRecord(record.body);
         bool const isSnapshot = publication && publication->kind == Publication::Kind::Snapshot;
         if (isSnapshot && m_reader.accepted() && publication->revision == m_reader.accepted()->revision)
--- a/Specifications/Claims.pml
+++ b/Specifications/Claims.pml
@@ -118,7 +118,7 @@
     mayRun = true;
     goto execute;
 #endif
-    /* Reads until its own claim shows up: ClaimGate::takeRead, settleSeen. */
+    /* Reads until its own claim shows up: ClaimGate::handleReadResult, decideAttempt. */
     do
     :: atomic { (logIsUp && claimState[me] == IN_LOG) ->
             seen = 0;
@@ -137,7 +137,7 @@
 #endif
             break
         }
-    /* ClaimGate::giveUp: the claim may still be on its way. */
+    /* ClaimGate::expireAttempts: the claim may still be on its way. */
     :: claimState[me] == ON_ITS_WAY || claimState[me] == LOST ->
         gaveUp = true;
         toldNotRun[me] = true;
--- a/Specifications/Publication.pml
+++ b/Specifications/Publication.pml
@@ -79,7 +79,7 @@
     fi
 }
 
-/* PublicationReader::take, for one record. */
+/* PublicationReader::apply, for one record. */
 inline readOne(r) {
     d_step {
         if
@@ -104,7 +104,7 @@
                 knownRevision[r] = recordRevision[at];
                 knownContent[r] = recordContent[at];
 #ifndef SNAPSHOT_BLIND
-                /* PublicationReader::replayUnplaced */
+                /* PublicationReader::applyPendingChanges */
                 k = recordUpTo[at];
                 do
                 :: k < at ->
--- a/Tests/platform/TestPlatformReaders.cpp
+++ b/Tests/platform/TestPlatformReaders.cpp
@@ -115,7 +115,7 @@
     BOOST_TEST((digest.timeout == Milliseconds(12000) && digest.latencyObjective == Milliseconds(1200) && digest.gapObjective == Milliseconds(400)));
     BOOST_TEST(digest.shares.at(1).weight == 10u);
     auto const& confirm = *parts->routes.at(1).route;
-    BOOST_TEST((confirm.kind == RequestKind::Once && confirm.mostAttempts == 1u && confirm.shares.at(0).service == "book"));
+    BOOST_TEST((confirm.kind == RequestKind::AtMostOnce && confirm.maxAttempts == 1u && confirm.shares.at(0).service == "book"));
     BOOST_TEST(parts->services.at(0).contextTokens == 423882u);
     BOOST_TEST(parts->services.at(0).movesContexts);
     BOOST_TEST(!parts->services.at(1).movesContexts);
@@ -142,7 +142,7 @@
     auto changed = manifest();
     changed["routes"][0]["kind"] = "of-a-later-release";
     auto const parts = readManifest(changed.dump());
-    BOOST_TEST((parts->routes.at(0).route->kind == RequestKind::Once));
+    BOOST_TEST((parts->routes.at(0).route->kind == RequestKind::AtMostOnce));
 }
 
 BOOST_AUTO_TEST_CASE(WithoutAListOfOrganisationsNobodyNeedsAKey)
--- a/Utilities/stagepostctl/ReferenceCommand.cpp
+++ b/Utilities/stagepostctl/ReferenceCommand.cpp
@@ -31,7 +31,7 @@
         for (auto const& rule : settingRules()) {
             std::cout << "\n## " << rule.key << "\n\n"
                       << rule.description << "\n\n"
-                      << "- allowed: " << allowedText(rule) << "\n- default: `" << textOf(rule.fallback) << "`\n- stands in: " << scopesOf(rule) << '\n';
+                      << "- allowed: " << describeAllowedValues(rule) << "\n- default: `" << formatSettingValue(rule.defaultValue) << "`\n- stands in: " << scopesOf(rule) << '\n';
         }
     }
 
--- a/Utilities/stagepostctl/SettingsCommands.cpp
+++ b/Utilities/stagepostctl/SettingsCommands.cpp
@@ -242,9 +242,9 @@
         auto const resolved = tree->resolve(line.arguments[0], rule.key);
         if (!resolved)
             return fail(resolved.error());
-        json[std::string(rule.key)] = { { "value", textOf(resolved->value) }, { "from", resolved->from } };
+        json[std::string(rule.key)] = { { "value", formatSettingValue(resolved->value) }, { "from", resolved->from } };
         if (!line.wantsJson)
-            std::cout << rule.key << " = " << textOf(resolved->value) << "  # from " << resolved->from << '\n';
+            std::cout << rule.key << " = " << formatSettingValue(resolved->value) << "  # from " << resolved->from << '\n';
     }
     if (line.arguments.size() > 1 && json.empty())
         return fail(tree->resolve(line.arguments[0], line.arguments[1]).error());
--- a/Utilities/stagepostctl/SettingsLog.cpp
+++ b/Utilities/stagepostctl/SettingsLog.cpp
@@ -50,7 +50,7 @@
         if (batch.first.isNull() && m_reader.position().isNull())
             m_reader.startAtBeginning();
         for (auto const& record : batch.records) {
-            auto const outcome = m_reader.take(record.offset, record.body);
+            auto const outcome = m_reader.apply(record.offset, record.body);
             auto const publication = Publication::fromRecord(record.body);
             auto const revision = m_reader.accepted() ? m_reader.accepted()->revision : Revision {};
             if (publication)
