--- a/Libraries/LibOnce/ClaimGate.cpp
+++ b/Libraries/LibOnce/ClaimGate.cpp
@@ -14,9 +14,9 @@
     // restore of the log moves offsets back and fences must keep increasing.
     constexpr unsigned restoreCountShift = 48;
 
-    Refusal const keyExpired { RefusalReason::KeyOutOfWindow, Verdict::MayHaveRun, "the key is older than the claim window", {} };
-    Refusal const claimMayBeLost { RefusalReason::KeyOutOfWindow, Verdict::MayHaveRun, "the log was restored from a backup and may have lost an earlier claim of the key", {} };
-    Refusal const keyInFuture { RefusalReason::KeyOutOfWindow, Verdict::NotRun, "the key's creation time is in the future", {} };
+    Refusal const keyExpired { RefusalReason::KeyOutOfWindow, Verdict::MayHaveRun, "the key is older than what is remembered", {} };
+    Refusal const claimMayBeLost { RefusalReason::KeyOutOfWindow, Verdict::MayHaveRun, "the log came back from a copy and may have lost what the key did", {} };
+    Refusal const keyInFuture { RefusalReason::KeyOutOfWindow, Verdict::NotRun, "the key's time is in the future", {} };
 
     Refusal notRun(RefusalReason reason, char const* detail)
     {
@@ -108,7 +108,7 @@
     if (entry->state == ClaimTable::State::Done && entry->response.isComplete)
         return Replay { entry->response };
     if (entry->state == ClaimTable::State::Done)
-        return Refusal { RefusalReason::KeyInProgress, Verdict::Ran, "the call has run; its response is not kept", {} };
+        return Refusal { RefusalReason::KeyInProgress, Verdict::Ran, "the call has run; its answer is not kept", {} };
     return Refusal { RefusalReason::KeyInProgress, Verdict::MayHaveRun, "another attempt with this key holds it", retryDelay };
 }
 
@@ -128,7 +128,7 @@
     if (bytes() > m_options.memoryBytes)
         shard.table.shrinkTo(m_options.memoryBytes / shardCount);
     if (bytes() > m_options.memoryBytes) {
-        callback(notRun(RefusalReason::OnceMemoryFull, "the memory for idempotency keys is full"));
+        callback(notRun(RefusalReason::OnceMemoryFull, "as many keys are remembered as fit"));
         return;
     }
     Attempt attempt { key, m_hooks.random() | 1, fingerprint, std::move(callback), now + m_options.queueTimeout, false };
@@ -209,7 +209,7 @@
             continue;
         auto const callback = std::move(attempt->second.callback);
         shard.attempts.erase(attempt);
-        callback(notRun(RefusalReason::LogDown, "the log does not accept claims at the moment; tickets do not need the log"));
+        callback(notRun(RefusalReason::LogDown, "the log takes no claim now; a ticket needs no log"));
     }
     // The batch may have been appended all the same; only reading the log can tell.
     if (!isCertain)
@@ -298,7 +298,7 @@
         if (attempt.isSent)
             abandon(attempt.key, attempt.nonce, now);
         auto const reason = attempt.isSent ? RefusalReason::ClaimUnsettled : RefusalReason::LogDown;
-        attempt.callback(notRun(reason, "the claim did not appear in the log in time"));
+        attempt.callback(notRun(reason, "the log did not show the claim in time"));
     }
 }
 
