--- a/Libraries/LibBase/Authenticator.cpp
+++ b/Libraries/LibBase/Authenticator.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-    constexpr uint64_t windowSize = 64;
+    // One bit of ReplayWindow::seenBits per sequence number.
+    constexpr uint64_t replayWindowSize = 64;
 
-    // Sender and sequence number. All daemons run on the same kind of
-    // machine, so the numbers go in its own byte order.
-    using Frame = std::array<uint64_t, 2>;
+    // The sender's id and the sequence number. They are sent in host byte order,
+    // since all daemons run on the same kind of machine.
+    using MessageHeader = std::array<uint64_t, 2>;
 
 }
 
@@ -23,7 +24,7 @@
     crypto_generichash(m_key.data(), m_key.size(), reinterpret_cast<unsigned char const*>(key.data()), key.size(), nullptr, 0);
 }
 
-std::string Authenticator::tagOf(std::string_view text) const
+std::string Authenticator::computeTag(std::string_view text) const
 {
     std::array<unsigned char, crypto_generichash_BYTES_MIN> digest {};
     crypto_generichash(digest.data(), digest.size(),
@@ -31,47 +32,47 @@
     return { digest.begin(), digest.begin() + tagSize };
 }
 
-bool Authenticator::matches(std::string_view text, std::string_view tag) const
+bool Authenticator::verifyTag(std::string_view text, std::string_view tag) const
 {
-    return tag.size() == tagSize && sodium_memcmp(tagOf(text).data(), tag.data(), tagSize) == 0;
+    return tag.size() == tagSize && sodium_memcmp(computeTag(text).data(), tag.data(), tagSize) == 0;
 }
 
-std::string Authenticator::seal(std::string_view body)
+std::string Authenticator::signMessage(std::string_view body)
 {
-    Frame const frame { m_self.value(), ++m_sequence };
-    std::string sealed(sizeof(frame), '\0');
-    std::memcpy(sealed.data(), frame.data(), sizeof(frame));
-    sealed += body;
-    sealed += tagOf(sealed);
-    return sealed;
+    MessageHeader const header { m_self.value(), ++m_sequence };
+    std::string message(sizeof(header), '\0');
+    std::memcpy(message.data(), header.data(), sizeof(header));
+    message += body;
+    message += computeTag(message);
+    return message;
 }
 
-Result<Authenticator::Opened> Authenticator::open(std::string_view sealed)
+Result<Authenticator::VerifiedMessage> Authenticator::verifyMessage(std::string_view message)
 {
-    Frame frame {};
-    if (sealed.size() < sizeof(frame) + tagSize)
-        return Error(ErrorCode::Malformed, "shorter than its frame");
-    auto const signedPart = sealed.substr(0, sealed.size() - tagSize);
-    if (!matches(signedPart, sealed.substr(signedPart.size())))
-        return Error(ErrorCode::Forged, "the tag does not match");
-    std::memcpy(frame.data(), signedPart.data(), sizeof(frame));
-    Opened opened { VMId(frame[0]), std::string(signedPart.substr(sizeof(frame))) };
-    if (!accept(m_windows[opened.sender], frame[1]))
-        return Error(ErrorCode::Replayed, "seen already");
-    return opened;
+    MessageHeader header {};
+    if (message.size() < sizeof(header) + tagSize)
+        return Error(ErrorCode::Malformed, "the message is shorter than its header and tag");
+    auto const signedPart = message.substr(0, message.size() - tagSize);
+    if (!verifyTag(signedPart, message.substr(signedPart.size())))
+        return Error(ErrorCode::NotAuthenticated, "the authentication tag does not match");
+    std::memcpy(header.data(), signedPart.data(), sizeof(header));
+    VerifiedMessage verified { VMId(header[0]), std::string(signedPart.substr(sizeof(header))) };
+    if (!acceptSequence(m_windows[verified.sender], header[1]))
+        return Error(ErrorCode::Replayed, "the sequence number was already received or is too old");
+    return verified;
 }
 
-bool Authenticator::accept(ReplayWindow& window, uint64_t sequence)
+bool Authenticator::acceptSequence(ReplayWindow& window, uint64_t sequence)
 {
     if (sequence > window.newest) {
         auto const shift = sequence - window.newest;
-        window.seenBits = shift >= windowSize ? 0 : window.seenBits << shift;
+        window.seenBits = shift >= replayWindowSize ? 0 : window.seenBits << shift;
         window.seenBits |= 1;
         window.newest = sequence;
         return true;
     }
     auto const age = window.newest - sequence;
-    if (age >= windowSize)
+    if (age >= replayWindowSize)
         return false;
     auto const bit = uint64_t { 1 } << age;
     if (window.seenBits & bit)
--- a/Libraries/LibBase/Authenticator.h
+++ b/Libraries/LibBase/Authenticator.h
@@ -9,43 +9,46 @@
 
 namespace Stagepost {
 
-// Seals what daemons send each other and opens what they receive. A sealed
-// message names its sender and a sequence number, and ends in a keyed BLAKE2b tag
-// over all of it. Sequence numbers start at the sender's incarnation, which is
-// the microsecond of its start, so those of a later start are higher; they stay
-// so below a million messages a second.
+// Signs the messages that daemons send to each other and verifies those that they
+// receive. Messages are authenticated, not encrypted: each carries the sender's id,
+// a sequence number and a keyed BLAKE2b tag over the whole message. Sequence numbers
+// start at the sender's incarnation, which is its start time in microseconds. After a
+// restart they are therefore higher than before, as long as the sender stays below a
+// million messages a second.
 class Authenticator {
 public:
-    // Eight bytes leave a forger one chance in 2^64 a message.
+    // In bytes. A random tag is accepted with a probability of 2^-64.
     static constexpr size_t tagSize = 8;
+    // The bytes that signMessage() adds to a body.
     static constexpr size_t overhead = 2 * sizeof(uint64_t) + tagSize;
 
-    // The key may be of any length; an empty one is refused by the settings.
+    // The key may have any length; validation of the settings rejects an empty one.
     Authenticator(std::string_view key, VMId self, Incarnation incarnation);
 
-    std::string seal(std::string_view body);
+    std::string signMessage(std::string_view body);
 
-    struct Opened {
+    struct VerifiedMessage {
         VMId sender;
         std::string body;
     };
 
-    // Errors: Malformed, Forged, or Replayed for a sequence number that was seen
-    // already or lies more than 64 behind the newest one.
-    Result<Opened> open(std::string_view sealed);
+    // Errors: Malformed, NotAuthenticated, or Replayed for a sequence number that was
+    // received before or is 64 or more below the highest one.
+    Result<VerifiedMessage> verifyMessage(std::string_view message);
 
-    // The tag alone, for text that carries its own identity, such as tickets.
-    std::string tagOf(std::string_view text) const;
+    // Returns only the tag, for texts that already identify themselves, such as tickets.
+    std::string computeTag(std::string_view text) const;
 
     // Compares a tag in constant time.
-    bool matches(std::string_view text, std::string_view tag) const;
+    bool verifyTag(std::string_view text, std::string_view tag) const;
 
 private:
+    // The sequence numbers received from one sender. Bit N of seenBits stands for newest - N.
     struct ReplayWindow {
         uint64_t newest { 0 };
         uint64_t seenBits { 0 };
     };
-    static bool accept(ReplayWindow&, uint64_t sequence);
+    static bool acceptSequence(ReplayWindow&, uint64_t sequence);
 
     std::array<unsigned char, 32> m_key {};
     VMId m_self;
