--- a/Libraries/LibBase/Error.cpp
+++ b/Libraries/LibBase/Error.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    class Category final : public std::error_category {
+    class ErrorCategory final : public std::error_category {
     public:
         char const* name() const noexcept override { return "stagepost"; }
 
@@ -14,12 +14,12 @@
         {
             switch (static_cast<ErrorCode>(value)) {
             case ErrorCode::BadInput:
-                return "bad input";
+                return "invalid input";
             case ErrorCode::Cancelled:
                 return "cancelled";
             case ErrorCode::Conflict:
                 return "conflict";
-            case ErrorCode::Forged:
+            case ErrorCode::NotAuthenticated:
                 return "not authenticated";
             case ErrorCode::LimitReached:
                 return "limit reached";
@@ -30,7 +30,7 @@
             case ErrorCode::OutOfWindow:
                 return "outside the window";
             case ErrorCode::PlatformDown:
-                return "platform down";
+                return "platform unavailable";
             case ErrorCode::Replayed:
                 return "replayed";
             case ErrorCode::Timeout:
@@ -46,7 +46,7 @@
 
 std::error_category const& errorCategory()
 {
-    static Category const category;
+    static ErrorCategory const category;
     return category;
 }
 
@@ -60,8 +60,8 @@
     return code.message() + ": " + detail;
 }
 
-// Reached only when a result is read without asking whether it holds a value,
-// which is a programming error.
+// Boost calls this when value() is called on a result that holds an error, which is a
+// programming error.
 void throw_exception_from_error(Error const&, boost::source_location const&)
 {
     std::abort();
--- a/Libraries/LibBase/Error.h
+++ b/Libraries/LibBase/Error.h
@@ -9,12 +9,12 @@
 
 namespace Stagepost {
 
-// What can go wrong in a fallible call, apart from the system's own errors.
+// Error codes of this project. Errors of the operating system keep their own category.
 enum class ErrorCode {
     BadInput = 1,
     Cancelled,
     Conflict,
-    Forged,
+    NotAuthenticated,
     LimitReached,
     Malformed,
     NotFound,
@@ -28,7 +28,7 @@
 std::error_category const& errorCategory();
 std::error_code make_error_code(ErrorCode);
 
-// An error code with the detail that a person needs to act on it.
+// An error code and a human-readable description of the specific failure.
 struct Error {
     std::error_code code;
     std::string detail;
@@ -40,7 +40,7 @@
     {
     }
 
-    // "code: detail" on one line.
+    // Returns "code: detail".
     std::string message() const;
 };
 
--- a/Libraries/LibBase/Result.h
+++ b/Libraries/LibBase/Result.h
@@ -5,14 +5,14 @@
 
 namespace Stagepost {
 
-// The value of a fallible call, or the error that kept it from having one.
+// The value of a fallible call, or its error.
 template <typename T>
 using Result = boost::system::result<T, Error>;
 
 }
 
-// Gives the value of a fallible expression, or returns its error from the
-// enclosing function.
+// Evaluates to the value of a fallible expression, or returns its error from the enclosing
+// function.
 #define TRY(expression)                          \
     ({                                           \
         auto tryResult = (expression);           \
