--- a/Libraries/LibBase/FingerprintKey.cpp
+++ b/Libraries/LibBase/FingerprintKey.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-    // Each text with its length before it, so that no two lists of texts give the same bytes.
-    void add(crypto_generichash_state& state, std::string_view text)
+    // Hashes the text with its length in front, so that different lists of texts never
+    // produce the same byte sequence.
+    void hashWithLength(crypto_generichash_state& state, std::string_view text)
     {
         uint64_t const size = text.size();
         crypto_generichash_update(&state, reinterpret_cast<unsigned char const*>(&size), sizeof(size));
@@ -28,14 +29,14 @@
     std::memcpy(&m_bodySeed, derived.data() + m_key.size(), sizeof(m_bodySeed));
 }
 
-RequestFingerprint FingerprintKey::fingerprintOf(RequestTraits const& traits) const
+RequestFingerprint FingerprintKey::fingerprintOf(FingerprintInput const& input) const
 {
     crypto_generichash_state state;
     crypto_generichash_init(&state, m_key.data(), m_key.size(), crypto_generichash_BYTES_MIN);
-    auto const body = hashOf(traits.body, m_bodySeed);
-    for (auto const text : { traits.organisation, traits.method, traits.host, traits.target })
-        add(state, text);
-    add(state, { reinterpret_cast<char const*>(&body), sizeof(body) });
+    auto const body = hashOf(input.body, m_bodySeed);
+    for (auto const text : { input.organisation, input.method, input.host, input.target })
+        hashWithLength(state, text);
+    hashWithLength(state, { reinterpret_cast<char const*>(&body), sizeof(body) });
     std::array<unsigned char, crypto_generichash_BYTES_MIN> digest {};
     crypto_generichash_final(&state, digest.data(), digest.size());
     uint64_t value = 0;
--- a/Libraries/LibBase/FingerprintKey.h
+++ b/Libraries/LibBase/FingerprintKey.h
@@ -6,10 +6,10 @@
 
 namespace Stagepost {
 
-// What a request is told by, if the id of one attempt and the connection that it came on are
-// left aside.
-struct RequestTraits {
-    // Empty where the route is public: then the same request of anybody is the same.
+// The parts of a request that its fingerprint covers. The id of the attempt and the
+// connection are not among them, so every attempt of a request has the same fingerprint.
+struct FingerprintInput {
+    // Empty on a public route, where equal requests of different callers share a fingerprint.
     std::string_view organisation;
     std::string_view method;
     std::string_view host;
@@ -17,17 +17,17 @@
     std::string_view body;
 };
 
-// Gives requests their fingerprints. The key is the fleet's, so that daemons agree on them
-// without telling one another what callers have sent, and so that no caller can make a
-// request that has the fingerprint of another organisation's.
+// Computes request fingerprints with a key that is shared by the fleet. All daemons get the
+// same fingerprints without exchanging the contents of requests, and a caller cannot
+// construct a request that collides with one of another organisation.
 class FingerprintKey {
 public:
-    // The key may be of any length.
+    // The key may have any length.
     explicit FingerprintKey(std::string_view key);
 
-    // A keyed BLAKE2b over all traits, for which the body stands as a seeded hash: BLAKE2b alone takes
-    // 128 us for a body of 64 KB.
-    RequestFingerprint fingerprintOf(RequestTraits const&) const;
+    // Returns a keyed BLAKE2b hash over all fields. The body enters it as a seeded XXH3 hash,
+    // since BLAKE2b takes 128 us for a body of 64 KB.
+    RequestFingerprint fingerprintOf(FingerprintInput const&) const;
 
 private:
     std::array<unsigned char, 32> m_key {};
--- a/Libraries/LibBase/FleetPeer.h
+++ b/Libraries/LibBase/FleetPeer.h
@@ -4,7 +4,7 @@
 
 namespace Stagepost {
 
-// A daemon of the fleet, as the others know it.
+// Identifies another daemon of the fleet and the hall that it runs in.
 struct FleetPeer {
     VMId id;
     HallId hall;
--- a/Libraries/LibBase/Hash.h
+++ b/Libraries/LibBase/Hash.h
@@ -5,14 +5,15 @@
 
 namespace Stagepost {
 
-// Returns a stable 64-bit hash of the text (XXH3). It is the same in every
-// daemon, so ids and rendezvous weights made from it agree over the fleet.
+// Returns the 64-bit XXH3 hash of the text. It does not depend on the process, so all
+// daemons derive the same ids and rendezvous weights from it.
 uint64_t hashOf(std::string_view text);
 
-// The same with a seed, which nobody who does not know it can aim at.
+// The same with a seed. Without the seed, collisions cannot be constructed on purpose.
 uint64_t hashOf(std::string_view text, uint64_t seed);
 
-// Mixes two hashes into a third that is stable and evenly spread.
+// Combines two hashes into a third, which is evenly distributed and, like that of hashOf(),
+// the same in all processes.
 uint64_t mixHashes(uint64_t first, uint64_t second);
 
 }
--- a/Libraries/LibBase/Hex.cpp
+++ b/Libraries/LibBase/Hex.cpp
@@ -6,14 +6,14 @@
 
 namespace Stagepost {
 
-std::string hexOf(uint64_t value)
+std::string toHex(uint64_t value)
 {
     std::array<char, 17> text {};
     std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(value));
     return text.data();
 }
 
-std::optional<uint64_t> numberOfHex(std::string_view text)
+std::optional<uint64_t> parseHex(std::string_view text)
 {
     uint64_t value = 0;
     auto const [end, code] = std::from_chars(text.data(), text.data() + text.size(), value, 16);
@@ -22,7 +22,7 @@
     return value;
 }
 
-std::string hexOfBytes(std::string_view bytes)
+std::string bytesToHex(std::string_view bytes)
 {
     std::string hex(bytes.size() * 2 + 1, '\0');
     sodium_bin2hex(hex.data(), hex.size(), reinterpret_cast<unsigned char const*>(bytes.data()), bytes.size());
@@ -30,7 +30,7 @@
     return hex;
 }
 
-std::string bytesOfHex(std::string_view hex)
+std::string hexToBytes(std::string_view hex)
 {
     std::string bytes(hex.size() / 2, '\0');
     size_t size = 0;
--- a/Libraries/LibBase/Hex.h
+++ b/Libraries/LibBase/Hex.h
@@ -7,14 +7,14 @@
 
 namespace Stagepost {
 
-// The number as 16 hexadecimal digits.
-std::string hexOf(uint64_t);
-// The number of up to 16 hexadecimal digits, or none where the text is anything else.
-std::optional<uint64_t> numberOfHex(std::string_view);
+// Formats the number as 16 hexadecimal digits.
+std::string toHex(uint64_t);
+// Parses up to 16 hexadecimal digits. Returns nothing for any other text.
+std::optional<uint64_t> parseHex(std::string_view);
 
-// Two digits a byte.
-std::string hexOfBytes(std::string_view bytes);
-// The bytes, or an empty text where it is not made of digits.
-std::string bytesOfHex(std::string_view hex);
+// Formats each byte as two hexadecimal digits.
+std::string bytesToHex(std::string_view bytes);
+// Parses two hexadecimal digits per byte. Returns an empty string if the text is invalid.
+std::string hexToBytes(std::string_view hex);
 
 }
--- a/Libraries/LibBase/Ids.h
+++ b/Libraries/LibBase/Ids.h
@@ -8,8 +8,8 @@
 
 namespace Stagepost {
 
-// A number that names one kind of thing and cannot be mixed up with another
-// kind. Ids made from a name are its hash, so they need no table to agree on.
+// A strongly typed id: ids of different tags do not convert into each other. An id made
+// from a name is its hash, so all processes derive the same id without a shared table.
 template <typename Tag>
 class Id {
 public:
@@ -37,24 +37,24 @@
 using ChatId = Id<struct ChatTag>;
 using LeaseId = Id<struct LeaseTag>;
 
-// A lease's id names the entry daemon that asked for it in its upper half, and
-// is that daemon's count in its lower one, which alone goes over the network.
-inline LeaseId makeLeaseId(VMId entry, uint32_t count)
+// Combines the low 32 bits of the requesting entry daemon's id (upper half) with a sequence
+// number of that daemon (lower half). Only the sequence number is sent over the network.
+inline LeaseId makeLeaseId(VMId entry, uint32_t sequence)
 {
-    return LeaseId((entry.value() << 32) | count);
+    return LeaseId((entry.value() << 32) | sequence);
 }
 
-// The number that a VM's process takes anew at each start. A higher one replaces
-// a lower one, so that news of an earlier process can be told from news of this.
+// Identifies one run of the process on a VM. It is higher after each restart, so that
+// messages about an earlier run can be recognized as outdated.
 using Incarnation = Id<struct IncarnationTag>;
 
-// What makes a caller's request the same one whenever it comes, and wherever.
+// A hash over the contents of a request, equal on all daemons; see FingerprintKey.
 using RequestFingerprint = Id<struct RequestFingerprintTag>;
 
-// The number of an accepted configuration; it only rises.
+// The version number of an accepted configuration. It only increases.
 using Revision = Id<struct RevisionTag>;
 
-// The place of a record in one stream of the platform's log.
+// The position of a record in a stream of the platform's log.
 using Offset = Id<struct OffsetTag>;
 
 }
--- a/Tests/LibBase/TestFingerprintKey.cpp
+++ b/Tests/LibBase/TestFingerprintKey.cpp
@@ -6,30 +6,31 @@
 
 namespace {
 
-RequestTraits const traits { "club", "POST", "logbook.example", "/digest/x?year=2026", "a prompt" };
+FingerprintInput const input { "club", "POST", "logbook.example", "/digest/x?year=2026", "a prompt" };
 
 }
 
 BOOST_AUTO_TEST_SUITE(FingerprintKeyTests)
 
-BOOST_AUTO_TEST_CASE(AllDaemonsOfAFleetAgree)
+BOOST_AUTO_TEST_CASE(SameKeyGivesSameFingerprint)
 {
-    BOOST_TEST((FingerprintKey("key").fingerprintOf(traits) == FingerprintKey("key").fingerprintOf(traits)));
-    BOOST_TEST((FingerprintKey("key").fingerprintOf(traits) != FingerprintKey("another").fingerprintOf(traits)));
+    BOOST_TEST((FingerprintKey("key").fingerprintOf(input) == FingerprintKey("key").fingerprintOf(input)));
+    BOOST_TEST((FingerprintKey("key").fingerprintOf(input) != FingerprintKey("another").fingerprintOf(input)));
 }
 
-BOOST_AUTO_TEST_CASE(EachTraitTellsRequestsApart)
+BOOST_AUTO_TEST_CASE(EveryFieldAffectsTheFingerprint)
 {
     FingerprintKey const key("key");
-    for (auto const member : { &RequestTraits::organisation, &RequestTraits::method, &RequestTraits::host, &RequestTraits::target, &RequestTraits::body }) {
-        auto other = traits;
+    for (auto const member : { &FingerprintInput::organisation, &FingerprintInput::method, &FingerprintInput::host, &FingerprintInput::target, &FingerprintInput::body }) {
+        auto other = input;
         other.*member = "other";
-        BOOST_TEST((key.fingerprintOf(other) != key.fingerprintOf(traits)));
+        BOOST_TEST((key.fingerprintOf(other) != key.fingerprintOf(input)));
     }
 }
 
-// An organisation whose name ends as another one's path begins is still another one.
-BOOST_AUTO_TEST_CASE(BordersBetweenTraitsCount)
+// Moving characters from the end of one field to the start of another changes the fingerprint.
+// Otherwise requests of two organisations could collide.
+BOOST_AUTO_TEST_CASE(FieldBoundariesAffectTheFingerprint)
 {
     FingerprintKey const key("key");
     BOOST_TEST(rc::check([&](std::string const& text, std::string const& more) {
