--- a/Libraries/LibBase/Log.cpp
+++ b/Libraries/LibBase/Log.cpp
@@ -1,6 +1,6 @@
 #include <LibBase/Log.h>
 
-#include <LibBase/LogBudget.h>
+#include <LibBase/LogRateLimiter.h>
 #include <algorithm>
 #include <deque>
 #include <poll.h>
@@ -13,48 +13,48 @@
 
 namespace {
 
-    constexpr char const* requestsLogger = "requests";
+    constexpr char const* requestLoggerName = "requests";
 
-    // Writes to the standard output and never waits for whoever reads it: a pipe
-    // that poll() calls writable takes PIPE_BUF bytes at once, and a line is cut to
-    // fit. What goes over the budget is left out and counted, and so are lines of requests that
-    // do not fit in; of the others some are kept until they do.
+    // Writes to standard output without blocking. A pipe that poll() reports as writable
+    // accepts at least PIPE_BUF bytes, so lines are truncated to that length. Lines over the
+    // rate limit are dropped and counted. While the output accepts nothing, request lines are
+    // dropped as well, and up to maxPendingLines other lines are queued.
     class StandardOutputSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
     public:
-        static constexpr size_t longestLine = 4096;
-        static constexpr size_t mostKept = 64;
+        static constexpr size_t maxLineBytes = 4096;
+        static constexpr size_t maxPendingLines = 64;
 
     private:
         void sink_it_(spdlog::details::log_msg const& message) override
         {
-            bool const isOfRequest = std::string_view(message.logger_name.data(), message.logger_name.size()) == requestsLogger;
-            if (!m_budget.allows(MonotonicClock::now(), isOfRequest ? LogBudget::keptFromRequests : 0))
+            bool const isRequestLine = std::string_view(message.logger_name.data(), message.logger_name.size()) == requestLoggerName;
+            if (!m_limiter.tryAcquire(MonotonicClock::now(), isRequestLine ? LogRateLimiter::reservedForEvents : 0))
                 return;
             flush_();
-            if (m_kept.empty() && write(formatted(message)))
+            if (m_pending.empty() && write(formatted(message)))
                 return;
-            if (isOfRequest || m_kept.size() == mostKept)
-                m_budget.leaveOut();
+            if (isRequestLine || m_pending.size() == maxPendingLines)
+                m_limiter.recordDrop();
             else
-                m_kept.push_back(formatted(message));
+                m_pending.push_back(formatted(message));
         }
 
         void flush_() override
         {
-            while (!m_kept.empty() && write(m_kept.front()))
-                m_kept.pop_front();
-            if (!m_budget.hasLeftOut() || !canWrite())
+            while (!m_pending.empty() && write(m_pending.front()))
+                m_pending.pop_front();
+            if (!m_limiter.hasDropped() || !canWrite())
                 return;
-            write("level=warning event=log-left-out lines=" + std::to_string(m_budget.takeLeftOut()) + '\n');
+            write("level=warning event=log-left-out lines=" + std::to_string(m_limiter.takeDroppedCount()) + '\n');
         }
 
         std::string formatted(spdlog::details::log_msg const& message)
         {
             spdlog::memory_buf_t line;
             formatter_->format(message, line);
-            if (line.size() > longestLine) {
-                line.resize(longestLine);
-                line[longestLine - 1] = '\n';
+            if (line.size() > maxLineBytes) {
+                line.resize(maxLineBytes);
+                line[maxLineBytes - 1] = '\n';
             }
             return { line.data(), line.size() };
         }
@@ -67,8 +67,8 @@
 
         static bool write(std::string_view text) { return canWrite() && ::write(STDOUT_FILENO, text.data(), text.size()) == static_cast<ssize_t>(text.size()); }
 
-        LogBudget m_budget;
-        std::deque<std::string> m_kept;
+        LogRateLimiter m_limiter;
+        std::deque<std::string> m_pending;
     };
 
     std::shared_ptr<spdlog::logger> makeLogger(char const* name, spdlog::sink_ptr sink)
@@ -78,11 +78,11 @@
         return created;
     }
 
-    // Both write to the one output, by its one budget.
+    // Both loggers share one sink, and with it one rate limit.
     struct Loggers {
         spdlog::sink_ptr sink { std::make_shared<StandardOutputSink>() };
         std::shared_ptr<spdlog::logger> events { makeLogger("stagepost", sink) };
-        std::shared_ptr<spdlog::logger> requests { makeLogger(requestsLogger, sink) };
+        std::shared_ptr<spdlog::logger> requests { makeLogger(requestLoggerName, sink) };
     };
 
     Loggers& loggers()
@@ -93,32 +93,31 @@
 
     spdlog::logger& logger() { return *loggers().events; }
 
-    bool isPrintable(unsigned char letter)
+    bool isPrintable(unsigned char byte)
     {
-        return letter >= ' ' && letter < 0x7f;
+        return byte >= ' ' && byte < 0x7f;
     }
 
     bool needsQuotes(std::string_view value)
     {
-        return value.empty() || std::any_of(value.begin(), value.end(), [](unsigned char letter) {
-            return !isPrintable(letter) || letter == ' ' || letter == '"' || letter == '=';
+        return value.empty() || std::any_of(value.begin(), value.end(), [](unsigned char byte) {
+            return !isPrintable(byte) || byte == ' ' || byte == '"' || byte == '=';
         });
     }
 
-    // Values may hold whatever bytes came from outside, and whoever reads the log
-    // takes it for text.
-    void appendEscaped(std::string& line, unsigned char letter)
+    // Values may contain arbitrary bytes from the network, but the log must remain printable text.
+    void appendEscaped(std::string& line, unsigned char byte)
     {
-        if (isPrintable(letter)) {
-            if (letter == '"' || letter == '\\')
+        if (isPrintable(byte)) {
+            if (byte == '"' || byte == '\\')
                 line += '\\';
-            line += static_cast<char>(letter);
+            line += static_cast<char>(byte);
             return;
         }
         constexpr std::string_view digits = "0123456789abcdef";
         line += "\\x";
-        line += digits[letter >> 4];
-        line += digits[letter & 0xf];
+        line += digits[byte >> 4];
+        line += digits[byte & 0xf];
     }
 
     void appendValue(std::string& line, std::string_view value)
@@ -128,8 +127,8 @@
             return;
         }
         line += '"';
-        for (unsigned char const letter : value)
-            appendEscaped(line, letter);
+        for (unsigned char const byte : value)
+            appendEscaped(line, byte);
         line += '"';
     }
 
--- a/Libraries/LibBase/Log.h
+++ b/Libraries/LibBase/Log.h
@@ -14,7 +14,7 @@
     Error,
 };
 
-// One key and its value of a log line.
+// A key=value pair of a log line.
 struct LogField {
     std::string_view key;
     std::string value;
@@ -39,25 +39,25 @@
     }
 };
 
-// One line of key=value pairs in printable ASCII. A value with spaces, quotes or
-// other bytes is quoted; a quote and a backslash follow a backslash there, and any
-// byte that is not printable ASCII is \xNN.
+// Formats one line of key=value pairs in printable ASCII. Values that are empty or contain
+// spaces, quotes, equals signs or non-printable bytes are quoted. Inside quotes, a quote and
+// a backslash are escaped by a backslash, and a non-printable byte is written as \xNN.
 std::string formatEvent(std::string_view event, std::initializer_list<LogField> fields = {});
 
-// Writes that line to the standard output. Never waits for a reader:
-// lines that go over the budget of LogBudget are left out, and the next line that is written
-// tells how many. Some lines that the output does not take are kept until it does.
+// Writes such a line to standard output without blocking. Lines over the limit of
+// LogRateLimiter are dropped, and a later line reports how many. A limited number of lines
+// is queued while the output does not accept them.
 void logEvent(LogLevel, std::string_view event, std::initializer_list<LogField> fields = {});
 
-// The same for what became of one request. In a surge such lines leave room to the others: what
-// a process came to believe explains many requests.
+// Logs the outcome of one request. During a burst, part of the rate limit stays reserved for
+// logEvent(): one event, such as a change of state, explains the outcome of many requests.
 void logRequest(std::initializer_list<LogField>);
 
-// Writes lines that the output did not take before, as far as it does now.
+// Writes as many of the queued lines as the output accepts.
 void flushLog();
 
-// Sets the least level that is written; "debug", "info", "warning" or "error".
-// Returns false on another name.
+// Sets the minimum level of lines that are written: "debug", "info", "warning" or "error".
+// Returns false for any other name.
 bool setLogLevel(std::string_view name);
 
 }
