--- a/Libraries/LibBase/Base.h
+++ b/Libraries/LibBase/Base.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The public header of LibBase: ids, units, results, verdicts, counters and the
-// hooks through which everything else gets the time and its random numbers.
+// Includes all of LibBase: ids, time units, results, verdicts, metrics, logging, message
+// encoding and authentication, and the hooks that inject the clock and random numbers.
 
 #include <LibBase/Authenticator.h>
 #include <LibBase/Error.h>
@@ -12,13 +12,13 @@
 #include <LibBase/Hooks.h>
 #include <LibBase/Ids.h>
 #include <LibBase/Log.h>
-#include <LibBase/LogBudget.h>
+#include <LibBase/LogRateLimiter.h>
 #include <LibBase/MessageReader.h>
 #include <LibBase/MessageWriter.h>
 #include <LibBase/Metrics.h>
-#include <LibBase/ProvenAge.h>
 #include <LibBase/RefusalReason.h>
 #include <LibBase/Result.h>
+#include <LibBase/StalenessBound.h>
 #include <LibBase/TextDelta.h>
 #include <LibBase/Time.h>
 #include <LibBase/TokenBucket.h>
--- a/Tests/LibBase/TestBeliefs.cpp
+++ b/Tests/LibBase/TestBeliefs.cpp
@@ -12,54 +12,54 @@
 
 }
 
-BOOST_AUTO_TEST_SUITE(BeliefTests)
+BOOST_AUTO_TEST_SUITE(StalenessAndLogTests)
 
-BOOST_AUTO_TEST_CASE(ABeliefIsAsOldAsTheReadThatProvedIt)
+BOOST_AUTO_TEST_CASE(StateIsAsOldAsTheReadThatConfirmedIt)
 {
-    ProvenAge age;
+    StalenessBound age;
     BOOST_TEST(!age.isWithin(Seconds(1000), at(1)));
     age.confirm(at(10));
     BOOST_TEST(age.isWithin(Seconds(5), at(15)));
     BOOST_TEST(!age.isWithin(Seconds(5), at(15.001)));
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerThatComesLateMakesNothingNewer)
+BOOST_AUTO_TEST_CASE(LateResponseDoesNotReduceTheAge)
 {
-    ProvenAge age;
+    StalenessBound age;
     age.confirm(at(10));
     age.confirm(at(4));
     BOOST_TEST((*age.age(at(12)) == Seconds(2)));
 }
 
-BOOST_AUTO_TEST_CASE(TheLogIsBoundedAndSaysWhatItLeftOut)
+BOOST_AUTO_TEST_CASE(LimitsTheRateAndCountsDroppedLines)
 {
-    LogBudget budget;
+    LogRateLimiter limiter;
     size_t written = 0;
     for (size_t line = 0; line < 3000; ++line)
-        written += budget.allows(at(1)) ? 1 : 0;
-    BOOST_TEST(written == static_cast<size_t>(LogBudget::burst));
-    BOOST_TEST(budget.takeLeftOut() == 3000 - written);
-    BOOST_TEST(!budget.hasLeftOut());
-    // A second later there is room for as many lines as a second may have.
+        written += limiter.tryAcquire(at(1)) ? 1 : 0;
+    BOOST_TEST(written == static_cast<size_t>(LogRateLimiter::burst));
+    BOOST_TEST(limiter.takeDroppedCount() == 3000 - written);
+    BOOST_TEST(!limiter.hasDropped());
+    // One second refills the limiter by the lines of one second.
     written = 0;
     for (size_t line = 0; line < 3000; ++line)
-        written += budget.allows(at(2)) ? 1 : 0;
-    BOOST_TEST(written == static_cast<size_t>(LogBudget::linesPerSecond));
+        written += limiter.tryAcquire(at(2)) ? 1 : 0;
+    BOOST_TEST(written == static_cast<size_t>(LogRateLimiter::linesPerSecond));
 }
 
-BOOST_AUTO_TEST_CASE(LinesOfRequestsLeaveRoomForWhatExplainsThem)
+BOOST_AUTO_TEST_CASE(RequestLinesLeaveTheReserveToEvents)
 {
-    LogBudget budget;
+    LogRateLimiter limiter;
     size_t written = 0;
     for (size_t line = 0; line < 3000; ++line)
-        written += budget.allows(at(1), LogBudget::keptFromRequests) ? 1 : 0;
-    BOOST_TEST(written == static_cast<size_t>(LogBudget::burst - LogBudget::keptFromRequests));
-    for (size_t line = 0; line < static_cast<size_t>(LogBudget::keptFromRequests); ++line)
-        BOOST_TEST(budget.allows(at(1)));
-    BOOST_TEST(!budget.allows(at(1)));
+        written += limiter.tryAcquire(at(1), LogRateLimiter::reservedForEvents) ? 1 : 0;
+    BOOST_TEST(written == static_cast<size_t>(LogRateLimiter::burst - LogRateLimiter::reservedForEvents));
+    for (size_t line = 0; line < static_cast<size_t>(LogRateLimiter::reservedForEvents); ++line)
+        BOOST_TEST(limiter.tryAcquire(at(1)));
+    BOOST_TEST(!limiter.tryAcquire(at(1)));
 }
 
-BOOST_AUTO_TEST_CASE(ALogLineIsPrintableWhateverItsValuesHold)
+BOOST_AUTO_TEST_CASE(LogLinesArePrintableForAnyValue)
 {
     BOOST_TEST(formatEvent("started", { { "name", "e-1" }, { "open", 3 } }) == "event=started name=e-1 open=3");
     BOOST_TEST(formatEvent("x", { { "detail", "a \"b\" \\" } }) == "event=x detail=\"a \\\"b\\\" \\\\\"");
