--- a/Libraries/LibBase/MessageReader.cpp
+++ b/Libraries/LibBase/MessageReader.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-    // A duration beyond any that is in use is a forged or damaged one.
-    constexpr uint64_t longestDuration = uint64_t { 1 } << 50;
+    // In microseconds, about 35 years. No valid message contains a longer duration.
+    constexpr uint64_t maxDuration = uint64_t { 1 } << 50;
 
 }
 
@@ -41,7 +41,7 @@
 size_t MessageReader::count()
 {
     auto const value = number();
-    if (value > mostElements || value > m_elements->size()) {
+    if (value > maxElements || value > m_elements->size()) {
         m_failed = true;
         return 0;
     }
@@ -62,7 +62,7 @@
 Microseconds MessageReader::duration()
 {
     auto const value = number();
-    if (value > longestDuration) {
+    if (value > maxDuration) {
         m_failed = true;
         return {};
     }
--- a/Libraries/LibBase/MessageReader.h
+++ b/Libraries/LibBase/MessageReader.h
@@ -10,13 +10,13 @@
 
 namespace Stagepost {
 
-// Reads what a MessageWriter wrote. The first element that is missing or of
-// another type fails the reader, and the failure sticks, so that a decoder
-// checks once, at its end. Failed reads give zero or an empty text.
+// Decodes a message that MessageWriter encoded. A missing element or one of the wrong
+// type puts the reader into a permanent failed state, so a decoder needs to check only
+// once, at its end. Reads in the failed state return zero or an empty string.
 class MessageReader {
 public:
-    // More elements than any message between daemons has.
-    static constexpr size_t mostElements = 8192;
+    // The limit of count(). No message between daemons has as many elements.
+    static constexpr size_t maxElements = 8192;
 
     explicit MessageReader(std::string_view bytes);
     ~MessageReader();
@@ -24,7 +24,8 @@
     MessageReader& operator=(MessageReader const&) = delete;
 
     uint64_t number();
-    // A count of elements that follow; larger ones than fit fail the reader.
+    // Reads the count of the elements that follow. Fails if it exceeds maxElements or the
+    // number of elements in the message.
     size_t count();
     std::string text();
     Microseconds duration();
@@ -32,7 +33,7 @@
     Id id() { return Id(number()); }
 
     bool failed() const { return m_failed; }
-    // Whether all was read and nothing is left over.
+    // Returns whether all reads succeeded and no element is left.
     bool finished() const;
 
 private:
--- a/Libraries/LibBase/MessageWriter.h
+++ b/Libraries/LibBase/MessageWriter.h
@@ -10,8 +10,8 @@
 
 namespace Stagepost {
 
-// Builds the body of a message between daemons: one MessagePack array, whose
-// elements are read back in the order in which they were written.
+// Encodes the body of a message between daemons as a MessagePack array. MessageReader must
+// read the elements in the same order.
 class MessageWriter {
 public:
     MessageWriter();
@@ -21,12 +21,12 @@
 
     void number(uint64_t);
     void text(std::string_view);
-    // In microseconds; a negative duration is written as none at all.
+    // Written in microseconds. A negative duration is written as 0.
     void duration(Microseconds);
     template <typename Tag>
     void id(Id<Tag> value) { number(value.value()); }
 
-    // The bytes; the writer is empty afterwards.
+    // Returns the encoded message and clears the writer.
     std::string release();
 
 private:
--- a/Tests/LibBase/TestMessages.cpp
+++ b/Tests/LibBase/TestMessages.cpp
@@ -8,7 +8,7 @@
 
 BOOST_AUTO_TEST_CASE(ReadsBackWhatWasWritten)
 {
-    BOOST_TEST(rc::check("numbers and texts survive the way", [](uint64_t number, std::string const& text) {
+    BOOST_TEST(rc::check("numbers and texts are read as they were written", [](uint64_t number, std::string const& text) {
         MessageWriter writer;
         writer.number(number);
         writer.text(text);
@@ -19,7 +19,7 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(AFailureSticks)
+BOOST_AUTO_TEST_CASE(FailedStateIsPermanent)
 {
     MessageWriter writer;
     writer.text("not a number");
@@ -31,9 +31,9 @@
     BOOST_TEST(!reader.finished());
 }
 
-BOOST_AUTO_TEST_CASE(AnyBytesAreReadSafely)
+BOOST_AUTO_TEST_CASE(ArbitraryBytesAreRejected)
 {
-    BOOST_TEST(rc::check("garbage never reads as finished beyond its end", [](std::string const& bytes) {
+    BOOST_TEST(rc::check("reads of arbitrary bytes fail at the latest past their end", [](std::string const& bytes) {
         MessageReader reader(bytes);
         for (int count = 0; count < 4; ++count) {
             reader.number();
@@ -43,7 +43,7 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(ADurationBeyondReasonIsDamage)
+BOOST_AUTO_TEST_CASE(RejectsTooLongDuration)
 {
     MessageWriter writer;
     writer.number(~uint64_t { 0 });
