--- a/Libraries/LibBase/Metrics.cpp
+++ b/Libraries/LibBase/Metrics.cpp
@@ -11,8 +11,8 @@
     using LogAxis = Histogram::axis::regular<double, Histogram::axis::transform::log>;
 
     constexpr unsigned binCount = 28;
-    constexpr double leastSeconds = 1e-5;
-    constexpr double mostSeconds = 100;
+    constexpr double minSeconds = 1e-5;
+    constexpr double maxSeconds = 100;
 
     std::string keyOf(std::string_view name, std::string_view label)
     {
@@ -32,13 +32,13 @@
 
 }
 
-struct Metrics::Latency {
-    decltype(Histogram::make_histogram(std::declval<LogAxis>())) histogram { Histogram::make_histogram(LogAxis(binCount, leastSeconds, mostSeconds)) };
+struct Metrics::LatencyHistogram {
+    decltype(Histogram::make_histogram(std::declval<LogAxis>())) histogram { Histogram::make_histogram(LogAxis(binCount, minSeconds, maxSeconds)) };
     double sum { 0 };
     uint64_t count { 0 };
 };
 
-// Every reason is listed from the start, so that a collector sees a zero and not a gap.
+// Creates the counters of all refusal reasons, so that a collector sees 0 instead of a missing series.
 Metrics::Metrics()
 {
     for (size_t index = 0; index < static_cast<size_t>(RefusalReason::Count); ++index)
@@ -70,13 +70,13 @@
 
 void Metrics::observe(std::string_view name, Microseconds duration)
 {
-    auto found = m_latencies.find(name);
-    if (found == m_latencies.end())
-        found = m_latencies.emplace(std::string(name), std::make_unique<Latency>()).first;
-    auto& latency = *found->second;
-    latency.histogram(asSeconds(duration));
-    latency.sum += asSeconds(duration);
-    ++latency.count;
+    auto found = m_histograms.find(name);
+    if (found == m_histograms.end())
+        found = m_histograms.emplace(std::string(name), std::make_unique<LatencyHistogram>()).first;
+    auto& entry = *found->second;
+    entry.histogram(asSeconds(duration));
+    entry.sum += asSeconds(duration);
+    ++entry.count;
 }
 
 uint64_t Metrics::counter(std::string_view name, std::string_view label) const
@@ -92,15 +92,15 @@
         text << key << ' ' << value << '\n';
     for (auto const& [key, value] : m_gauges)
         text << key << ' ' << value << '\n';
-    for (auto const& [name, latency] : m_latencies) {
-        double running = latency->histogram.at(-1);
-        for (auto&& bin : Histogram::indexed(latency->histogram)) {
-            running += *bin;
-            text << name << "_bucket{le=\"" << bin.bin().upper() << "\"} " << running << '\n';
+    for (auto const& [name, entry] : m_histograms) {
+        double cumulative = entry->histogram.at(-1);
+        for (auto&& bin : Histogram::indexed(entry->histogram)) {
+            cumulative += *bin;
+            text << name << "_bucket{le=\"" << bin.bin().upper() << "\"} " << cumulative << '\n';
         }
-        text << name << "_bucket{le=\"+Inf\"} " << latency->count << '\n';
-        text << name << "_sum " << latency->sum << '\n';
-        text << name << "_count " << latency->count << '\n';
+        text << name << "_bucket{le=\"+Inf\"} " << entry->count << '\n';
+        text << name << "_sum " << entry->sum << '\n';
+        text << name << "_count " << entry->count << '\n';
     }
     return text.str();
 }
--- a/Libraries/LibBase/Metrics.h
+++ b/Libraries/LibBase/Metrics.h
@@ -10,8 +10,8 @@
 
 namespace Stagepost {
 
-// The counters and latencies of one daemon, in the text format that metric
-// collectors read. Not thread safe: it belongs to the daemon's one thread.
+// The counters, gauges and latency histograms of one daemon, rendered in the Prometheus
+// text format. Not thread-safe: only the daemon's single thread uses it.
 class Metrics {
 public:
     Metrics();
@@ -19,28 +19,28 @@
     Metrics(Metrics const&) = delete;
     Metrics& operator=(Metrics const&) = delete;
 
-    // Adds to a counter; the label, for example `reason="queue-full"`, may be empty.
+    // Increments a counter. The label, for example `reason="queue-full"`, may be empty.
     void count(std::string_view name, std::string_view label = {}, uint64_t amount = 1);
 
     void countRefusal(Refusal const&);
     void countRetry(std::string_view reason);
 
-    // Sets a value that can fall as well as rise.
     void setGauge(std::string_view name, double value);
 
-    // Adds one duration to a latency histogram with logarithmic bins from 10 us to 100 s.
+    // Adds a duration to a latency histogram with logarithmic buckets from 10 us to 100 s.
     void observe(std::string_view name, Microseconds);
 
+    // Returns 0 for a counter that was never incremented.
     uint64_t counter(std::string_view name, std::string_view label = {}) const;
 
-    // All metrics as lines of text.
+    // Formats all metrics, one sample per line.
     std::string render() const;
 
 private:
-    struct Latency;
+    struct LatencyHistogram;
     std::map<std::string, uint64_t> m_counters;
     std::map<std::string, double> m_gauges;
-    std::map<std::string, std::unique_ptr<Latency>, std::less<>> m_latencies;
+    std::map<std::string, std::unique_ptr<LatencyHistogram>, std::less<>> m_histograms;
 };
 
 }
--- a/Libraries/LibBase/RefusalReason.h
+++ b/Libraries/LibBase/RefusalReason.h
@@ -9,7 +9,7 @@
 
 namespace Stagepost {
 
-// Why a request got no answer from an upstream. Each has a counter.
+// Why a request was not answered by an upstream. Each reason has a counter in the metrics.
 enum class RefusalReason {
     BadJson,
     BadRequest,
@@ -52,21 +52,21 @@
     Count,
 };
 
-// The reason as callers, counters and logs see it, for example "queue-full".
+// Returns the name that callers, metrics and logs see, for example "queue-full".
 std::string_view nameOf(RefusalReason);
 
-// The HTTP status that goes with a reason.
+// Returns the HTTP status of a response with this reason.
 unsigned httpStatusOf(RefusalReason);
 
-// What whoever meets the reason can do about it, in a sentence or two.
+// Returns what a caller or operator can do about the reason, in one or two sentences.
 std::string_view adviceFor(RefusalReason);
 
-// All that a caller is told of a request that was not answered.
+// What a caller is told about a request that no upstream answered.
 struct Refusal {
     RefusalReason reason { RefusalReason::BadRequest };
     Verdict verdict { Verdict::NotRun };
     std::string detail;
-    // When asking again makes sense; none where waiting does not help.
+    // How long to wait before a retry; empty if waiting does not help.
     std::optional<Milliseconds> retryAfter;
 };
 
--- a/Libraries/LibBase/Verdict.h
+++ b/Libraries/LibBase/Verdict.h
@@ -4,19 +4,19 @@
 
 namespace Stagepost {
 
-// Whether a request may have run. NotRun is said only where it is certain that
-// the request has not run and never will; every doubt is MayHaveRun.
+// Whether a request was executed by an upstream. NotRun is used only if it is certain that the
+// request was not executed and never will be; any uncertainty is MayHaveRun.
 enum class Verdict {
     NotRun,
     MayHaveRun,
     Ran,
 };
 
-// The verdict as callers see it: "not-run", "may-have-run" or "ran".
+// Returns the name that callers see: "not-run", "may-have-run" or "ran".
 std::string_view nameOf(Verdict);
 
-// The verdict on a request of which one part is already certain and another
-// part reports its own: doubt about either is doubt about the whole.
+// Combines the verdicts on two attempts of a request. The higher one wins, so that any doubt
+// about one attempt applies to the whole request.
 Verdict combine(Verdict, Verdict);
 
 }
--- a/Tests/LibBase/TestMetrics.cpp
+++ b/Tests/LibBase/TestMetrics.cpp
@@ -5,7 +5,7 @@
 
 BOOST_AUTO_TEST_SUITE(MetricsTests)
 
-BOOST_AUTO_TEST_CASE(EveryReasonIsListedFromTheStart)
+BOOST_AUTO_TEST_CASE(ListsEveryRefusalReasonInitially)
 {
     Metrics const metrics;
     auto const text = metrics.render();
@@ -34,7 +34,7 @@
     BOOST_TEST(text.find("wait_count 3") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(DoubtOutweighsCertainty)
+BOOST_AUTO_TEST_CASE(CombineKeepsTheDoubt)
 {
     BOOST_TEST((combine(Verdict::NotRun, Verdict::MayHaveRun) == Verdict::MayHaveRun));
     BOOST_TEST((combine(Verdict::NotRun, Verdict::NotRun) == Verdict::NotRun));
