--- a/Libraries/LibBase/TextDelta.h
+++ b/Libraries/LibBase/TextDelta.h
@@ -6,14 +6,14 @@
 
 namespace Stagepost {
 
-// What leads from one text to another that is mostly the same, as bytes: zstd with the
-// first text as its dictionary. A configuration of hundreds of routes changes in one or
-// two, and every daemon has the one before. What is new is compressed as well; with an
-// empty first text that is all of it.
+// Encodes the changes between two similar texts, as zstd data with the first text as its
+// dictionary. Configurations have hundreds of routes of which one or two change at a time,
+// and every daemon has the previous version. New text is compressed as well, so with an empty
+// first text the delta is the compressed second text.
 std::string makeDelta(std::string_view from, std::string_view to);
 
-// The text that the delta leads to. Error: Malformed, also where it was made from
-// another text.
+// Applies a delta to the text that it was made from and returns the new text. Error: Malformed
+// if the delta is damaged or was made from another text.
 Result<std::string> applyDelta(std::string_view from, std::string_view delta);
 
 }
--- a/Tests/LibBase/TestTextDelta.cpp
+++ b/Tests/LibBase/TestTextDelta.cpp
@@ -18,24 +18,24 @@
 
 BOOST_AUTO_TEST_SUITE(TextDeltaTests)
 
-BOOST_AUTO_TEST_CASE(ADeltaLeadsFromAnyTextToAnyOther)
+BOOST_AUTO_TEST_CASE(RoundTripsArbitraryTexts)
 {
-    BOOST_TEST(rc::check("texts made of the same few parts", [](std::vector<uint8_t> const& first, std::vector<uint8_t> const& second, std::string const& between) {
-        auto const made = [&](std::vector<uint8_t> const& parts) {
+    BOOST_TEST(rc::check("texts composed of the same few parts", [](std::vector<uint8_t> const& first, std::vector<uint8_t> const& second, std::string const& between) {
+        auto const compose = [&](std::vector<uint8_t> const& parts) {
             std::string text;
             for (auto const part : parts)
                 text += std::string(part % 40, static_cast<char>('a' + part % 5)) + between;
             return text;
         };
-        auto const from = made(first);
-        auto const to = made(second);
+        auto const from = compose(first);
+        auto const to = compose(second);
         auto const applied = applyDelta(from, makeDelta(from, to));
         RC_ASSERT(applied.has_value());
         RC_ASSERT(*applied == to);
     }));
 }
 
-BOOST_AUTO_TEST_CASE(AChangeCostsItsOwnSize)
+BOOST_AUTO_TEST_CASE(SmallChangeGivesSmallDelta)
 {
     auto const before = routes(1500);
     auto after = before;
@@ -48,7 +48,7 @@
     BOOST_TEST(applyDelta(before, delta).value() == after);
 }
 
-BOOST_AUTO_TEST_CASE(ADeltaOfAnotherTextOrDamagedIsRefused)
+BOOST_AUTO_TEST_CASE(RejectsDamagedDeltasAndOtherBaseTexts)
 {
     auto const before = routes(50);
     auto const delta = makeDelta(before, routes(51));
@@ -56,8 +56,8 @@
     BOOST_TEST(!applyDelta({}, delta).has_value());
     for (size_t length = 0; length < delta.size(); ++length)
         BOOST_TEST(!applyDelta(before, std::string_view(delta).substr(0, length)).has_value());
-    BOOST_TEST(rc::check("any bytes", [&](std::string const& junk) {
-        RC_ASSERT(!applyDelta(before, junk).has_value());
+    BOOST_TEST(rc::check("arbitrary bytes", [&](std::string const& bytes) {
+        RC_ASSERT(!applyDelta(before, bytes).has_value());
     }));
 }
 
