--- a/Libraries/LibBase/Time.cpp
+++ b/Libraries/LibBase/Time.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    Microseconds read(clockid_t clock)
+    Microseconds readClock(clockid_t clock)
     {
         timespec time {};
         ::clock_gettime(clock, &time);
@@ -17,12 +17,12 @@
 
 MonotonicClock::time_point MonotonicClock::now() noexcept
 {
-    return time_point(read(CLOCK_BOOTTIME));
+    return time_point(readClock(CLOCK_BOOTTIME));
 }
 
 MonotonicClock::duration MonotonicClock::suspendedTime() noexcept
 {
-    return read(CLOCK_BOOTTIME) - read(CLOCK_MONOTONIC);
+    return readClock(CLOCK_BOOTTIME) - readClock(CLOCK_MONOTONIC);
 }
 
 }
--- a/Libraries/LibBase/Time.h
+++ b/Libraries/LibBase/Time.h
@@ -8,10 +8,10 @@
 using Milliseconds = std::chrono::milliseconds;
 using Seconds = std::chrono::seconds;
 
-// The local clock that every age, deadline, lease and timer is counted on. It goes on while the VM is
-// suspended (CLOCK_BOOTTIME), as the clocks of everybody else do: on the steady clock a daemon that
-// wakes up takes all that it believed for as young as before.
-// It says nothing about other VMs' clocks: only durations go over the network.
+// The local clock for all ages, deadlines, leases and timers. It keeps running while the VM is
+// suspended (CLOCK_BOOTTIME). With std::chrono::steady_clock, a daemon would treat its state as
+// fresh after a suspension, although time has passed for all other daemons. Its time points are
+// not comparable between VMs: only durations are sent over the network.
 struct MonotonicClock {
     using duration = Microseconds;
     using rep = duration::rep;
@@ -20,7 +20,7 @@
     static constexpr bool is_steady = true; // NOLINT(readability-identifier-naming)
 
     static time_point now() noexcept;
-    // How long this VM has been suspended since it was started, to within a millisecond.
+    // Returns how long this VM has been suspended since it booted, to within a millisecond.
     static duration suspendedTime() noexcept;
 };
 
--- a/Libraries/LibBase/TokenBucket.h
+++ b/Libraries/LibBase/TokenBucket.h
@@ -5,22 +5,22 @@
 
 namespace Stagepost {
 
-// Allows so many a second in the long run, and so many at once.
+// A token bucket: limits the average rate and the size of a burst.
 class TokenBucket {
 public:
-    // It begins full.
-    explicit TokenBucket(double most)
-        : m_tokens(most)
-        , m_most(most)
+    // The bucket starts full.
+    explicit TokenBucket(double capacity)
+        : m_tokens(capacity)
+        , m_capacity(capacity)
     {
     }
 
-    // Whether one more is allowed now; it is counted then.
+    // Takes one token. Returns false if none is left.
     bool take(double perSecond, Instant now)
     {
-        if (m_filledAt != Instant {})
-            m_tokens = std::min(m_most, m_tokens + asSeconds(now - m_filledAt) * perSecond);
-        m_filledAt = now;
+        if (m_refilledAt != Instant {})
+            m_tokens = std::min(m_capacity, m_tokens + asSeconds(now - m_refilledAt) * perSecond);
+        m_refilledAt = now;
         if (m_tokens < 1)
             return false;
         --m_tokens;
@@ -29,8 +29,8 @@
 
 private:
     double m_tokens;
-    double m_most;
-    Instant m_filledAt;
+    double m_capacity;
+    Instant m_refilledAt;
 };
 
 }
