--- a/Libraries/LibPlatform/FetchHook.cpp
+++ b/Libraries/LibPlatform/FetchHook.cpp
@@ -4,7 +4,7 @@
 
 namespace Stagepost {
 
-FetchHook fetchWith(HttpClient& client)
+FetchHook makeFetchHook(HttpClient& client)
 {
     return [&client](Endpoint const& endpoint, HttpCall call, Milliseconds timeout, HttpClient::Callback callback) {
         client.fetch(endpoint, std::move(call), timeout, std::move(callback));
--- a/Libraries/LibPlatform/FetchHook.h
+++ b/Libraries/LibPlatform/FetchHook.h
@@ -10,10 +10,10 @@
 
 class HttpClient;
 
-// Makes one HTTP call and calls back once, with the errors of HttpClient::fetch.
+// Makes one HTTP call and invokes the callback once. Errors: those of HttpClient::fetch().
 using FetchHook = std::function<void(Endpoint const&, HttpCall, Milliseconds timeout, std::function<void(Result<HttpReply>)>)>;
 
-// Makes the calls with a client, which must outlive the hook.
-FetchHook fetchWith(HttpClient&);
+// Returns a hook that makes its calls with the client, which must outlive the hook.
+FetchHook makeFetchHook(HttpClient&);
 
 }
--- a/Libraries/LibPlatform/LogBatch.h
+++ b/Libraries/LibPlatform/LogBatch.h
@@ -11,16 +11,16 @@
     std::string body;
 };
 
-// What one read of a stream gave.
+// The result of one read of a stream.
 struct LogBatch {
     // The oldest offset that the log still keeps.
     Offset first;
-    // The offset that the next record will get.
+    // The offset that the next appended record will get.
     Offset next;
     std::vector<LogRecord> records;
-    // How often the log has come back from a copy that lacks its last records; their offsets
-    // are given out again. 0 where the log does not say.
-    uint64_t returns { 0 };
+    // How often the log was restored from a copy that lacks its most recent records. The
+    // offsets of the lost records are assigned again. 0 if the log does not report it.
+    uint64_t restoreCount { 0 };
 };
 
 }
--- a/Libraries/LibPlatform/LogClient.h
+++ b/Libraries/LibPlatform/LogClient.h
@@ -6,10 +6,10 @@
 
 namespace Stagepost {
 
-// The append-only log over its HTTP interface:
-//   POST /v1/streams/NAME/records          the body is one record; answers {"offset":N}
+// Client of the append-only log, which has this HTTP interface:
+//   POST /v1/streams/NAME/records          the body is one record; returns {"offset":N}
 //   GET  /v1/streams/NAME/records?from=N&max=N&wait_ms=N
-// A read waits up to wait_ms for a record at or after its offset.
+// A read waits up to wait_ms until there is a record at or after the offset `from`.
 class LogClient {
 public:
     using AppendCallback = std::function<void(Result<Offset>)>;
@@ -21,13 +21,13 @@
     {
     }
 
-    // Errors: Unreachable where the record was certainly not appended, LimitReached
-    // where the log refused it; every other error leaves it open, and only reading
-    // the stream settles it.
+    // Errors: Unreachable if the record was certainly not appended, LimitReached if the log
+    // rejected it. After any other error the record may have been appended, and only a read
+    // of the stream can tell.
     void append(std::string const& stream, std::string record, AppendCallback) const;
 
     // Error: PlatformDown.
-    void read(std::string const& stream, Offset from, size_t most, Milliseconds wait, ReadCallback) const;
+    void read(std::string const& stream, Offset from, size_t maxRecords, Milliseconds wait, ReadCallback) const;
 
 private:
     Endpoint m_log;
--- a/Libraries/LibPlatform/Platform.h
+++ b/Libraries/LibPlatform/Platform.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The public header of LibPlatform: the append-only log and the list of VMs
-// that the platform keeps, met over HTTP.
+// Includes all of LibPlatform: HTTP clients of the platform's append-only log and of its
+// list of VMs.
 
 #include <LibPlatform/FetchHook.h>
 #include <LibPlatform/LogBatch.h>
--- a/Libraries/LibPlatform/VMEntry.h
+++ b/Libraries/LibPlatform/VMEntry.h
@@ -18,17 +18,17 @@
     Gone,
 };
 
-// One line of the platform's list of VMs.
+// One VM in the platform's list of VMs. For a VM that is Gone, only name and state are set.
 struct VMEntry {
     std::string name;
     std::string hall;
     VMRole role { VMRole::Entry };
     VMState state { VMState::Live };
-    // Where it takes HTTP.
+    // Where the VM accepts HTTP requests.
     Endpoint endpoint;
-    // Where an entry VM's daemon takes datagrams from other daemons.
+    // Where the daemon on an entry VM receives datagrams of other daemons.
     std::optional<Endpoint> peerEndpoint;
-    // The part of the settings tree that an upstream serves: "pools.NAME" or "services.NAME".
+    // The node of the settings tree that an upstream serves: "pools.NAME" or "services.NAME".
     std::string serves;
 
     VMId id() const { return VMId::fromName(name); }
--- a/Libraries/LibPlatform/VMList.h
+++ b/Libraries/LibPlatform/VMList.h
@@ -8,13 +8,13 @@
 
 namespace Stagepost {
 
-// The platform's list of VMs as it is known here. It lags: what daemons learn
-// of each other goes before it.
+// The local copy of the platform's list of VMs. It lags behind, so what daemons learn from
+// each other takes precedence over it.
 class VMList {
 public:
-    // Takes one answer of the platform: {"version":N,"vms":[...]}, where each VM
-    // has changed since the version that was asked for. Returns the VMs that are
-    // new or changed here. Error: Malformed, and then nothing is taken.
+    // Applies a response of the platform: {"version":N,"vms":[...]}, with the VMs that changed
+    // since the requested version. Returns these VMs. Error: Malformed, in which case the list
+    // stays unchanged.
     Result<std::vector<VMEntry>> apply(std::string_view json);
 
     uint64_t version() const { return m_version; }
--- a/Libraries/LibPlatform/VMListClient.cpp
+++ b/Libraries/LibPlatform/VMListClient.cpp
@@ -8,12 +8,12 @@
 
 }
 
-void VMListClient::changes(uint64_t sinceVersion, Milliseconds wait, Callback callback) const
+void VMListClient::fetchChanges(uint64_t sinceVersion, Milliseconds wait, Callback callback) const
 {
     auto target = "/v1/vms?since=" + std::to_string(sinceVersion) + "&wait_ms=" + std::to_string(wait.count());
     m_fetch(m_list, { "GET", std::move(target), {}, {} }, wait + callTimeout, [callback = std::move(callback)](Result<HttpReply> reply) {
         if (!reply || reply->status != 200)
-            callback(Error(ErrorCode::PlatformDown, reply ? "status " + std::to_string(reply->status) : reply.error().message()));
+            callback(Error(ErrorCode::PlatformDown, reply ? "the VM list responded with status " + std::to_string(reply->status) : reply.error().message()));
         else
             callback(std::move(reply->body));
     });
--- a/Libraries/LibPlatform/VMListClient.h
+++ b/Libraries/LibPlatform/VMListClient.h
@@ -6,9 +6,9 @@
 
 namespace Stagepost {
 
-// The list of VMs over its HTTP interface:
+// Client of the platform's list of VMs, which has this HTTP interface:
 //   GET /v1/vms?since=VERSION&wait_ms=N
-// A call waits up to wait_ms for a version above the one it names.
+// A call waits up to wait_ms until the list has a version above VERSION.
 class VMListClient {
 public:
     using Callback = std::function<void(Result<std::string>)>;
@@ -19,8 +19,8 @@
     {
     }
 
-    // Gives the answer's text, for VMList::apply(). Error: PlatformDown.
-    void changes(uint64_t sinceVersion, Milliseconds wait, Callback) const;
+    // Passes the response body, which VMList::apply() parses. Error: PlatformDown.
+    void fetchChanges(uint64_t sinceVersion, Milliseconds wait, Callback) const;
 
 private:
     Endpoint m_list;
