--- a/Libraries/LibMembership/EmptiedHalls.cpp
+++ b/Libraries/LibMembership/EmptiedHalls.cpp
@@ -75,7 +75,7 @@
 void EmptiedHalls::applyPeerState(EmptiedHallsState const& peer, std::optional<Instant> provenAt)
 {
     bool const isSamePosition = peer.position == m_state.position;
-    bool const isNewer = provenAt && (!m_age.isKnown() || *provenAt > *m_age.provenAt());
+    bool const isNewer = provenAt && (!m_age.isKnown() || *provenAt > *m_age.confirmedAt());
     if (provenAt)
         m_age.confirm(*provenAt);
     if (peer.position < m_state.position || (isSamePosition && !isNewer))
--- a/Libraries/LibMembership/EmptiedHalls.h
+++ b/Libraries/LibMembership/EmptiedHalls.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibBase/ProvenAge.h>
+#include <LibBase/StalenessBound.h>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -64,7 +64,7 @@
 
     bool contains(std::string const& hall) const { return m_state.halls.contains(hall); }
     EmptiedHallsState const& state() const { return m_state; }
-    ProvenAge const& age() const { return m_age; }
+    StalenessBound const& age() const { return m_age; }
 
 private:
     bool advancePosition(uint64_t position, Instant readSentAt);
@@ -73,7 +73,7 @@
     Bounds m_bounds;
     Changed m_changed;
     EmptiedHallsState m_state;
-    ProvenAge m_age;
+    StalenessBound m_age;
     // Orders that are missing from the restored store, and when they expire.
     std::map<std::string, Instant> m_missing;
 };
--- a/Libraries/LibMembership/UpstreamDirectory.cpp
+++ b/Libraries/LibMembership/UpstreamDirectory.cpp
@@ -10,7 +10,7 @@
 void UpstreamDirectory::confirm(Instant readSentAt)
 {
     auto const age = m_age.age(readSentAt);
-    m_previousProvenAt = m_age.provenAt();
+    m_previousProvenAt = m_age.confirmedAt();
     m_endsOutage = age && *age > m_bounds.outageThreshold;
     if (m_endsOutage)
         m_graceUntil = readSentAt + m_bounds.returnGrace;
--- a/Libraries/LibMembership/UpstreamDirectory.h
+++ b/Libraries/LibMembership/UpstreamDirectory.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibBase/Ids.h>
-#include <LibBase/ProvenAge.h>
+#include <LibBase/StalenessBound.h>
 #include <LibMembership/InFlightCounts.h>
 #include <LibMembership/UpstreamRecord.h>
 #include <deque>
@@ -65,7 +65,7 @@
     // records expired stay in use for the grace period but aren't included: other daemons
     // determine for themselves whether the store was unavailable to them.
     std::map<std::string, UpstreamRecord> const& records() const { return m_records; }
-    ProvenAge const& age() const { return m_age; }
+    StalenessBound const& age() const { return m_age; }
     // Equal for all daemons with the same records. Excludes values that change with time.
     uint64_t hash() const { return m_hash; }
 
@@ -117,7 +117,7 @@
     // The list of a hash never changes, so it can be cached.
     mutable std::deque<std::pair<uint64_t, std::shared_ptr<UpstreamList const>>> m_cachedLists;
     uint64_t m_hash { 0 };
-    ProvenAge m_age;
+    StalenessBound m_age;
     Instant m_graceUntil;
     // When the list was last confirmed before the read that is being applied, and whether
     // that read has ended an outage.
--- a/Libraries/LibOnce/ClaimRecord.cpp
+++ b/Libraries/LibOnce/ClaimRecord.cpp
@@ -25,12 +25,12 @@
         }
     }
     // Log records must be text.
-    return hexOfBytes(writer.release());
+    return bytesToHex(writer.release());
 }
 
 Result<std::vector<ClaimRecord>> ClaimRecord::decode(std::string_view text)
 {
-    MessageReader reader(bytesOfHex(text));
+    MessageReader reader(hexToBytes(text));
     std::vector<ClaimRecord> records;
     while (!reader.failed() && !reader.finished()) {
         ClaimRecord record;
--- a/Libraries/LibOnce/TicketRegistry.cpp
+++ b/Libraries/LibOnce/TicketRegistry.cpp
@@ -14,12 +14,12 @@
     // authentication tag.
     std::string ticketPayload(VMId holder, Incarnation incarnation, uint64_t serial)
     {
-        return hexOf(holder.value()) + hexOf(incarnation.value()) + hexOf(serial);
+        return toHex(holder.value()) + toHex(incarnation.value()) + toHex(serial);
     }
 
     std::string authenticatedText(std::string const& payload, OrganisationId organisation)
     {
-        return "ticket" + payload + hexOf(organisation.value());
+        return "ticket" + payload + toHex(organisation.value());
     }
 
 }
@@ -48,7 +48,7 @@
         auto const serial = m_firstSerial + m_slots.size();
         m_slots.emplace_back();
         auto const payload = ticketPayload(m_self, m_incarnation, serial);
-        tickets.push_back(payload + hexOfBytes(m_authenticator.tagOf(authenticatedText(payload, organisation))));
+        tickets.push_back(payload + bytesToHex(m_authenticator.computeTag(authenticatedText(payload, organisation))));
     }
     return tickets;
 }
@@ -76,9 +76,9 @@
     if (ticket.size() != ticketSize)
         return invalid;
     std::string const payload(ticket.substr(0, ticketSize - fieldSize));
-    if (!m_authenticator.matches(authenticatedText(payload, organisation), bytesOfHex(ticket.substr(ticketSize - fieldSize))))
+    if (!m_authenticator.verifyTag(authenticatedText(payload, organisation), hexToBytes(ticket.substr(ticketSize - fieldSize))))
         return invalid;
-    auto const field = [&](size_t index) { return numberOfHex(ticket.substr(index * fieldSize, fieldSize)).value_or(0); };
+    auto const field = [&](size_t index) { return parseHex(ticket.substr(index * fieldSize, fieldSize)).value_or(0); };
     if (VMId(field(0)) != m_self)
         return HeldElsewhere { VMId(field(0)) };
     if (Incarnation(field(1)) != m_incarnation)
--- a/Libraries/LibRouting/AdmissionGate.cpp
+++ b/Libraries/LibRouting/AdmissionGate.cpp
@@ -34,7 +34,7 @@
 bool AdmissionGate::admits(ServiceOccupancy const& occupancy, unsigned priority) const
 {
     auto const share = refusedShare(occupancy, priority);
-    return share == 0 || randomShare(m_random) >= share;
+    return share == 0 || randomFraction(m_random) >= share;
 }
 
 Milliseconds AdmissionGate::retryDelay(ServiceOccupancy const& occupancy) const
--- a/Libraries/LibRouting/ServicePlacement.cpp
+++ b/Libraries/LibRouting/ServicePlacement.cpp
@@ -544,7 +544,7 @@
 // their count is exact.
 bool ServicePlacement::accepts(Upstream const& upstream, double mean) const
 {
-    return static_cast<double>(upstream.load.own()) <= m_load.contextLoadLimit(mean, upstream.properties.slots) && randomShare(m_random) < upstream.share.value();
+    return static_cast<double>(upstream.load.own()) <= m_load.contextLoadLimit(mean, upstream.properties.slots) && randomFraction(m_random) < upstream.share.value();
 }
 
 // Requests that the first upstream of the order doesn't accept are spread randomly over as many of
--- a/Meta/Measure/InForceMeasurement.cpp
+++ b/Meta/Measure/InForceMeasurement.cpp
@@ -23,7 +23,7 @@
     public:
         explicit InForce(Arguments const& arguments)
             : m_client(m_loop)
-            , m_log(Endpoint::parse(arguments.text("log", "")).value(), fetchWith(m_client))
+            , m_log(Endpoint::parse(arguments.text("log", "")).value(), makeFetchHook(m_client))
         {
             std::istringstream list(arguments.text("daemons", ""));
             for (std::string text; std::getline(list, text, ',');)
--- a/Services/stagepostd/CrashDetector.cpp
+++ b/Services/stagepostd/CrashDetector.cpp
@@ -75,7 +75,7 @@
     for (auto const request : requests) {
         if (!m_suspects.recordCrash(request, upstream, m_loop.now()))
             continue;
-        logEvent(LogLevel::Info, "crash-evidence", { { "request", hexOf(request.value()) }, { "source", "seen" }, { "instance", check.mapped().instance }, { "ends", m_suspects.crashCount(request) }, { "guilty", m_suspects.isPoison(request) ? 1 : 0 } });
+        logEvent(LogLevel::Info, "crash-evidence", { { "request", toHex(request.value()) }, { "source", "seen" }, { "instance", check.mapped().instance }, { "ends", m_suspects.crashCount(request) }, { "guilty", m_suspects.isPoison(request) ? 1 : 0 } });
         m_hooks.evidenceChanged(request);
     }
 }
@@ -84,7 +84,7 @@
 {
     if (!m_suspects.recordSuccess(request, m_loop.now()))
         return;
-    logEvent(LogLevel::Info, "crash-evidence-cleared", { { "request", hexOf(request.value()) }, { "source", "answered" } });
+    logEvent(LogLevel::Info, "crash-evidence-cleared", { { "request", toHex(request.value()) }, { "source", "answered" } });
     m_hooks.evidenceChanged(request);
 }
 
--- a/Services/stagepostd/Daemon.cpp
+++ b/Services/stagepostd/Daemon.cpp
@@ -40,8 +40,8 @@
                          m_random,
                      })
     , m_retries(0.1)
-    , m_vms(loop, VMListClient(m_options.vmList, fetchWith(m_client)), [this](auto const& changed) { listChanged(changed); })
-    , m_settings(loop, LogClient(m_options.log, fetchWith(m_client)), m_random, [this] { settingsApplied(); })
+    , m_vms(loop, VMListClient(m_options.vmList, makeFetchHook(m_client)), [this](auto const& changed) { listChanged(changed); })
+    , m_settings(loop, LogClient(m_options.log, makeFetchHook(m_client)), m_random, [this] { settingsApplied(); })
     , m_policies(m_settings)
     , m_peerSettings(loop, m_client, m_options.key, m_self, m_incarnation, m_settings)
     , m_watcher(loop, m_client, m_node, m_vms.list())
@@ -49,7 +49,7 @@
                  loop,
                  m_metrics,
                  m_vms.list(),
-                 LogClient(m_options.log, fetchWith(m_client)),
+                 LogClient(m_options.log, makeFetchHook(m_client)),
                  m_random,
                  [this](std::shared_ptr<Exchange> const& exchange, CallerRequest request, RequestFlow::Ended ended) { run(exchange, std::move(request), std::move(ended)); },
                  [this](Refusal const& refusal) { return refuse(refusal); },
@@ -215,8 +215,8 @@
 HttpReply Daemon::handleOperator(HttpCall const& call)
 {
     // Comparing tags instead of tokens takes the same time wherever they differ.
-    auto const expected = m_authenticator.tagOf("Bearer " + m_options.operatorToken);
-    if (call.method != "POST" || !m_authenticator.matches(call.headers.find("Authorization"), expected))
+    auto const expected = m_authenticator.computeTag("Bearer " + m_options.operatorToken);
+    if (call.method != "POST" || !m_authenticator.verifyTag(call.headers.find("Authorization"), expected))
         return refuse({ RefusalReason::WrongToken, Verdict::NotRun, "the operator's token is wrong or missing", {} });
     return jsonReply(200, m_operator.handle(call.body));
 }
--- a/Services/stagepostd/Gateway.cpp
+++ b/Services/stagepostd/Gateway.cpp
@@ -55,7 +55,7 @@
     , m_peers(loop, m_metrics, m_options.exchange, m_suspects, m_random, peerHooks())
     , m_portProbe(loop)
     , m_crashDetector(loop, m_metrics, m_suspects, crashDetectorHooks())
-    , m_services { loop, m_metrics, m_serviceTable, m_crashDetector, m_peers, m_dialect, [this] { return areKeysFresh(); }, [this] { return needsRevalidation(); }, [this] { return settingsAge(); }, [this] { return m_peers.share(); }, [this](RequestTraits const& traits) { return m_fingerprintKey.fingerprintOf(traits); } }
+    , m_services { loop, m_metrics, m_serviceTable, m_crashDetector, m_peers, m_dialect, [this] { return areKeysFresh(); }, [this] { return needsRevalidation(); }, [this] { return settingsAge(); }, [this] { return m_peers.share(); }, [this](FingerprintInput const& traits) { return m_fingerprintKey.fingerprintOf(traits); } }
     , m_server(
           loop, {}, [this](std::shared_ptr<Exchange> const& exchange) { handle(exchange); }, [this](Refusal const& refusal) { return refuse(refusal); })
     , m_readyServer(
@@ -244,7 +244,7 @@
 // must not replace it.
 bool Gateway::updateUpstreams(std::vector<UpstreamChange> const& changes, bool isWhole, Instant readSentAt, bool isAfterReturn)
 {
-    auto const known = m_directory.age().provenAt();
+    auto const known = m_directory.age().confirmedAt();
     if (known && *known > readSentAt) {
         logEvent(LogLevel::Info, "upstreams-read-outdated", { { "behind_ms", (*known - readSentAt).count() / 1000 }, { "changes", changes.size() } });
         return false;
@@ -263,7 +263,7 @@
     if (m_directory.hash() == hashBefore)
         return;
     logEvent(LogLevel::Info, "upstreams",
-        { { "source", source }, { "count", m_directory.records().size() }, { "list", hexOf(m_directory.hash()) },
+        { { "source", source }, { "count", m_directory.records().size() }, { "list", toHex(m_directory.hash()) },
             { "age_ms", m_directory.age().age(m_loop.now()).value_or(Microseconds(0)).count() / 1000 } });
 }
 
@@ -297,9 +297,9 @@
 
 std::optional<Instant> Gateway::provenAt() const
 {
-    auto const settings = m_tableAge.provenAt();
-    auto const upstreams = m_directory.age().provenAt();
-    auto const halls = m_emptiedHalls.age().provenAt();
+    auto const settings = m_tableAge.confirmedAt();
+    auto const upstreams = m_directory.age().confirmedAt();
+    auto const halls = m_emptiedHalls.age().confirmedAt();
     if (!settings || !upstreams || !halls)
         return {};
     return std::min({ *settings, *upstreams, *halls });
@@ -372,7 +372,7 @@
 
 void Gateway::mergeUpstreams(GatewayState const& state, Instant provenAt)
 {
-    auto const known = m_directory.age().provenAt();
+    auto const known = m_directory.age().confirmedAt();
     if (state.upstreams && (!known || provenAt > *known))
         replaceUpstreams("state", *state.upstreams, provenAt);
 }
--- a/Services/stagepostd/Gateway.h
+++ b/Services/stagepostd/Gateway.h
@@ -128,7 +128,7 @@
     std::shared_ptr<RouteTable const> m_table;
     // Deltas that are sent to other daemons.
     SettingsHistory m_settingsHistory;
-    ProvenAge m_tableAge;
+    StalenessBound m_tableAge;
     SettingsLoader m_settingsLoader;
     // When the last read without a newer configuration was sent, while one is still waiting or
     // being parsed. It confirms that configuration once it is in force.
--- a/Services/stagepostd/GatewayPeers.cpp
+++ b/Services/stagepostd/GatewayPeers.cpp
@@ -117,7 +117,7 @@
     hooks.send = [this](VMId to, std::string const& body) { send(to, PeerMessageKind::Ledger, body); };
     hooks.forecast = m_hooks.forecast;
     hooks.unanswered = [](VMId owner, UpstreamId upstream, Microseconds waited) {
-        logEvent(LogLevel::Info, "owner-silent", { { "daemon", hexOf(owner.value()) }, { "upstream_id", hexOf(upstream.value()) }, { "waited_us", waited.count() } });
+        logEvent(LogLevel::Info, "owner-silent", { { "daemon", toHex(owner.value()) }, { "upstream_id", toHex(upstream.value()) }, { "waited_us", waited.count() } });
     };
     return hooks;
 }
@@ -210,7 +210,7 @@
         return false;
     auto const sender = m_peers.find(from);
     for (auto const request : *changedRequests)
-        logEvent(LogLevel::Info, "crash-evidence", { { "request", hexOf(request.value()) }, { "source", "told" }, { "peer", sender == m_peers.end() ? "" : sender->second.name }, { "ends", m_suspects.crashCount(request) }, { "guilty", m_suspects.isPoison(request) ? 1 : 0 } });
+        logEvent(LogLevel::Info, "crash-evidence", { { "request", toHex(request.value()) }, { "source", "told" }, { "peer", sender == m_peers.end() ? "" : sender->second.name }, { "ends", m_suspects.crashCount(request) }, { "guilty", m_suspects.isPoison(request) ? 1 : 0 } });
     return true;
 }
 
@@ -256,7 +256,7 @@
     if (m_isFetching || !endpoint)
         return;
     m_isFetching = true;
-    HttpCall call { "GET", statePath, { { peerHeader, hexOfBytes(m_stateAuthenticator->seal(formatStateRequest(m_hooks.beliefs.summary()))) } }, {} };
+    HttpCall call { "GET", statePath, { { peerHeader, bytesToHex(m_stateAuthenticator->signMessage(formatStateRequest(m_hooks.beliefs.summary()))) } }, {} };
     m_client.fetch(*endpoint, std::move(call), fetchTimeout, [this, from, provenAt](Result<HttpReply> const& reply) {
         m_isFetching = false;
         handleFetchedState(from, reply, provenAt);
@@ -273,7 +273,7 @@
         return refuse(reply.error().message());
     if (reply->status != 200)
         return refuse("status " + std::to_string(reply->status));
-    auto const opened = m_stateAuthenticator->open(reply->body);
+    auto const opened = m_stateAuthenticator->verifyMessage(reply->body);
     if (!opened || opened->sender != from)
         return refuse("the state is not authenticated by that daemon");
     auto const state = GatewayState::decode(opened->body);
@@ -287,11 +287,11 @@
 {
     if (!m_stateAuthenticator || call.path() != statePath)
         return textReply(statusForbidden, "for daemons of this fleet only\n");
-    auto const opened = m_stateAuthenticator->open(bytesOfHex(call.headers.find(peerHeader)));
+    auto const opened = m_stateAuthenticator->verifyMessage(hexToBytes(call.headers.find(peerHeader)));
     if (!opened || !opened->body.starts_with(stateRequestPrefix))
         return textReply(statusForbidden, "for daemons of this fleet only\n");
     auto const known = parseStateRequest(std::string_view(opened->body).substr(stateRequestPrefix.size()));
-    return { 200, { { "Content-Type", "application/octet-stream" } }, m_stateAuthenticator->seal(m_hooks.state(known).encode()) };
+    return { 200, { { "Content-Type", "application/octet-stream" } }, m_stateAuthenticator->signMessage(m_hooks.state(known).encode()) };
 }
 
 }
--- a/Services/stagepostd/GatewayRequestHandler.cpp
+++ b/Services/stagepostd/GatewayRequestHandler.cpp
@@ -483,9 +483,9 @@
 {
     auto const now = m_services.loop.now();
     logRequest(
-        { { "id", m_request.call.id }, { "request", outcome == "answered" ? "" : hexOf(fingerprint().value()) }, { "outcome", outcome }, { "reason", reason }, { "verdict", nameOf(verdict) },
+        { { "id", m_request.call.id }, { "request", outcome == "answered" ? "" : toHex(fingerprint().value()) }, { "outcome", outcome }, { "reason", reason }, { "verdict", nameOf(verdict) },
             { "status", result.status }, { "route", m_request.route->name }, { "service", m_request.service },
-            { "organisation", m_request.organisation }, { "context", hexOf(m_request.call.prompt.sharedKey().value_or(0)) },
+            { "organisation", m_request.organisation }, { "context", toHex(m_request.call.prompt.sharedKey().value_or(0)) },
             { "upstream", m_instance }, { "context_source", m_contextSource }, { "placed_by", nameOf(m_placement.rule) }, { "counts_age_ms", m_placement.countsAge.count() / 1000 }, { "hold_ms", m_placement.hold.count() / 1000 }, { "owners_asked", m_placement.asks }, { "owner_counted", m_placement.counted }, { "owner_limit", m_placement.limit }, { "rest_left_ms", m_restLeft.count() / 1000 }, { "sends", m_attempts.sends() },
             { "rejections", m_attempts.rejections() }, { "unconnected", m_attempts.connectFailures() }, { "reused_connection", result.reusedConnection ? 1 : 0 },
             { "events", m_progress ? m_progress->events : 0 }, { "bytes", result.answerBytes },
--- a/Services/stagepostd/GatewayRequestHandler.h
+++ b/Services/stagepostd/GatewayRequestHandler.h
@@ -2,7 +2,7 @@
 
 #include <LibBase/FingerprintKey.h>
 #include <LibBase/Metrics.h>
-#include <LibBase/ProvenAge.h>
+#include <LibBase/StalenessBound.h>
 #include <LibProxy/EventLoop.h>
 #include <LibProxy/Exchange.h>
 #include <LibRouting/RequestAttempts.h>
@@ -31,7 +31,7 @@
     std::function<Microseconds()> settingsAge;
     // This daemon's share of the fleet, from 0 to 1.
     std::function<double()> share;
-    std::function<RequestFingerprint(RequestTraits const&)> fingerprintOf;
+    std::function<RequestFingerprint(FingerprintInput const&)> fingerprintOf;
 };
 
 // A caller's request together with its route and organisation.
--- a/Services/stagepostd/OnceGateway.cpp
+++ b/Services/stagepostd/OnceGateway.cpp
@@ -45,7 +45,7 @@
 
     std::string wordFor(HttpCall const& call)
     {
-        return "passed-on" + hexOf(fingerprintOf(call));
+        return "passed-on" + toHex(fingerprintOf(call));
     }
 
 }
@@ -76,7 +76,7 @@
                     callback(batch.error());
                     return;
                 }
-                ClaimGate::ReadResult result { batch->first, batch->next, {}, batch->returns };
+                ClaimGate::ReadResult result { batch->first, batch->next, {}, batch->restoreCount };
                 for (auto const& record : batch->records)
                     result.records.emplace_back(record.offset, record.body);
                 callback(std::move(result));
@@ -136,7 +136,7 @@
 // A request is passed on once at the most: whoever gets it decides.
 bool OnceGateway::wasPassedOn(HttpCall const& call) const
 {
-    return m_authenticator.matches(wordFor(call), bytesOfHex(call.headers.find(passedOnField)));
+    return m_authenticator.verifyTag(wordFor(call), hexToBytes(call.headers.find(passedOnField)));
 }
 
 VMEntry const* OnceGateway::entryOf(VMId id) const
@@ -150,7 +150,7 @@
     ForwardPlan plan;
     plan.upstream = holder;
     plan.call = exchange->call();
-    plan.call.headers.set(passedOnField, hexOfBytes(m_authenticator.tagOf(wordFor(exchange->call()))));
+    plan.call.headers.set(passedOnField, bytesToHex(m_authenticator.computeTag(wordFor(exchange->call()))));
     plan.answerTimeout = answerTimeout;
     plan.freshConnection = true;
     m_dependencies.metrics.count("stagepost_passed_on_total");
--- a/Services/stagepostd/PeerChannel.cpp
+++ b/Services/stagepostd/PeerChannel.cpp
@@ -6,7 +6,7 @@
 
     std::string_view dropLabel(std::error_code code)
     {
-        if (code == make_error_code(ErrorCode::Forged))
+        if (code == make_error_code(ErrorCode::NotAuthenticated))
             return "reason=\"forged\"";
         if (code == make_error_code(ErrorCode::Replayed))
             return "reason=\"replayed\"";
@@ -27,12 +27,12 @@
 {
     std::string message(1, static_cast<char>(kind));
     message += body;
-    m_socket.send(to, m_authenticator.seal(message));
+    m_socket.send(to, m_authenticator.signMessage(message));
 }
 
 void PeerChannel::take(Endpoint const& source, std::string_view sealed)
 {
-    auto const opened = m_authenticator.open(sealed);
+    auto const opened = m_authenticator.verifyMessage(sealed);
     if (!opened) {
         m_metrics.count("stagepost_peer_dropped_total", dropLabel(opened.error().code));
         return;
--- a/Services/stagepostd/PeerSettings.cpp
+++ b/Services/stagepostd/PeerSettings.cpp
@@ -56,7 +56,7 @@
     if (m_isFetching || revision <= m_settings.revision())
         return;
     m_isFetching = true;
-    HttpCall call { "GET", path, { { peerField, hexOfBytes(m_authenticator.seal(requestWord)) } }, {} };
+    HttpCall call { "GET", path, { { peerField, bytesToHex(m_authenticator.signMessage(requestWord)) } }, {} };
     m_client.fetch(peer, std::move(call), callTimeout, [this, alive = std::weak_ptr(m_alive)](Result<HttpReply> const& reply) {
         if (!alive.expired())
             take(reply);
@@ -68,7 +68,7 @@
     m_isFetching = false;
     if (!reply || reply->status != 200)
         return;
-    auto const opened = m_authenticator.open(reply->body);
+    auto const opened = m_authenticator.verifyMessage(reply->body);
     if (!opened) {
         logEvent(LogLevel::Warning, "peer-settings-refused", { { "detail", opened.error().message() } });
         return;
@@ -79,12 +79,12 @@
 
 HttpReply PeerSettings::answer(HttpCall const& call)
 {
-    auto const opened = m_authenticator.open(bytesOfHex(call.headers.find(peerField)));
+    auto const opened = m_authenticator.verifyMessage(hexToBytes(call.headers.find(peerField)));
     if (!opened || opened->body != requestWord)
         return textReply(statusForbidden, "for daemons of this fleet only\n");
     if (!m_settings.settings())
         return textReply(statusNotFound, "no settings yet\n");
-    return { 200, { { "Content-Type", "application/octet-stream" } }, m_authenticator.seal(encode(m_settings.applied())) };
+    return { 200, { { "Content-Type", "application/octet-stream" } }, m_authenticator.signMessage(encode(m_settings.applied())) };
 }
 
 }
--- a/Services/stagepostd/RequestFlow.cpp
+++ b/Services/stagepostd/RequestFlow.cpp
@@ -86,7 +86,7 @@
     plan.call = m_request.upstreamCall;
     plan.answerHeaders.add("Stagepost-Verdict", nameOf(Verdict::Ran));
     if (m_request.isChat)
-        plan.answerHeaders.add("Stagepost-Hint", hexOf(lease.upstream.value()));
+        plan.answerHeaders.add("Stagepost-Hint", toHex(lease.upstream.value()));
     plan.answerTimeout = pool.answerTimeout;
     plan.idleTimeout = pool.idleTimeout;
     plan.freshConnection = !m_request.isRepeatable;
--- a/Services/stagepostd/RequestReader.cpp
+++ b/Services/stagepostd/RequestReader.cpp
@@ -36,7 +36,7 @@
 
     std::optional<UpstreamId> hintOf(std::string_view text)
     {
-        auto const number = numberOfHex(text);
+        auto const number = parseHex(text);
         return number ? std::optional(UpstreamId(*number)) : std::nullopt;
     }
 
@@ -50,7 +50,7 @@
             if (message.is_object() && message.value("role", Json()) == "user")
                 break;
         }
-        return hexOf(hash);
+        return toHex(hash);
     }
 
     uint32_t earlierTokens(Json const& messages)
@@ -105,7 +105,7 @@
         headers.set("Priority", request.placement.priority == Priority::Urgent ? "u=1" : "u=5");
         headers.set("Stagepost-Organisation", request.organisation.name);
         if (request.isChat)
-            headers.set("Stagepost-Chat", hexOf(request.placement.chat.value()));
+            headers.set("Stagepost-Chat", toHex(request.placement.chat.value()));
     }
 
     std::variant<CallerRequest, Refusal> readChat(HttpCall const& call, FleetSettings const& settings, CallerRequest request, Instant now)
--- a/Services/stagepostd/SettingsFollower.cpp
+++ b/Services/stagepostd/SettingsFollower.cpp
@@ -65,7 +65,7 @@
 // Offsets have been given out again, so what was read stands elsewhere or not at all.
 void SettingsFollower::noteReturn(LogBatch const& batch)
 {
-    logEvent(LogLevel::Warning, "log-returned", { { "stream", settingsStream }, { "returns", batch.returns }, { "next", batch.next.value() }, { "known_before", m_reader.position().value() } });
+    logEvent(LogLevel::Warning, "log-returned", { { "stream", settingsStream }, { "returns", batch.restoreCount }, { "next", batch.next.value() }, { "known_before", m_reader.position().value() } });
     m_reader.restartFrom(batch.first);
     m_standsSince = m_loop.now();
     m_snapshotAfter = Microseconds(static_cast<int64_t>(m_random() % static_cast<uint64_t>(longestUntilRepeat)));
@@ -74,10 +74,10 @@
 void SettingsFollower::takeBatch(LogBatch const& batch)
 {
     // An answer from before the return, which comes late, tells of a log that is gone.
-    if (m_returns && batch.returns < *m_returns)
+    if (m_returns && batch.restoreCount < *m_returns)
         return;
-    bool const isAfterReturn = m_returns && batch.returns > *m_returns;
-    m_returns = batch.returns;
+    bool const isAfterReturn = m_returns && batch.restoreCount > *m_returns;
+    m_returns = batch.restoreCount;
     if (isAfterReturn) {
         noteReturn(batch);
         return;
--- a/Services/stagepostd/UpstreamWatcher.cpp
+++ b/Services/stagepostd/UpstreamWatcher.cpp
@@ -16,7 +16,7 @@
     {
         if (!event.is_object() || !event.contains("chat") || !event["chat"].is_string())
             return {};
-        auto const number = numberOfHex(event["chat"].get<std::string>());
+        auto const number = parseHex(event["chat"].get<std::string>());
         return number ? std::optional(ChatId(*number)) : std::nullopt;
     }
 
--- a/Services/stagepostd/VMListFollower.cpp
+++ b/Services/stagepostd/VMListFollower.cpp
@@ -26,7 +26,7 @@
 
 void VMListFollower::ask()
 {
-    m_client.changes(m_list.version(), longestWait, [this, alive = std::weak_ptr(m_alive)](Result<std::string> const& answer) {
+    m_client.fetchChanges(m_list.version(), longestWait, [this, alive = std::weak_ptr(m_alive)](Result<std::string> const& answer) {
         if (!alive.expired())
             take(answer);
     });
--- a/Tests/LibMembership/TestEmptiedHalls.cpp
+++ b/Tests/LibMembership/TestEmptiedHalls.cpp
@@ -33,7 +33,7 @@
     BOOST_TEST(fixture.halls.contains("north"));
     fixture.halls.apply({ { "south", true }, { "north", false } }, 8, at(3));
     BOOST_TEST((fixture.takeChanges() == Changes { "-north", "+south" }));
-    BOOST_TEST((*fixture.halls.age().provenAt() == at(3)));
+    BOOST_TEST((*fixture.halls.age().confirmedAt() == at(3)));
 }
 
 // Only the last order of a read counts: no intermediate change is reported.
--- a/Tests/LibMembership/TestStateExchange.cpp
+++ b/Tests/LibMembership/TestStateExchange.cpp
@@ -1,6 +1,6 @@
 #include <LibBase/MessageReader.h>
 #include <LibBase/MessageWriter.h>
-#include <LibBase/ProvenAge.h>
+#include <LibBase/StalenessBound.h>
 #include <LibMembership/StateExchange.h>
 #include <boost/test/unit_test.hpp>
 #include <memory>
@@ -27,7 +27,7 @@
         HallId hall;
         std::unique_ptr<StateExchange> exchange;
         uint64_t state { 0 };
-        ProvenAge age;
+        StalenessBound age;
         bool canReadStore { true };
         bool isPaused { false };
         size_t reads { 0 };
@@ -116,7 +116,7 @@
             m_fetches.push_back({ m_now + delay(), daemon.id.value() - 1, from, provenAt });
         };
         hooks.localState.summary = [&daemon] { return StateSummary { daemon.state, daemon.state, daemon.registry.version() }; };
-        hooks.localState.provenAt = [&daemon] { return daemon.age.provenAt(); };
+        hooks.localState.provenAt = [&daemon] { return daemon.age.confirmedAt(); };
         hooks.localState.confirm = [this, &daemon](Instant provenAt) { confirm(daemon, provenAt); };
         hooks.localState.upstreamChangesSince = [](uint64_t) { return std::vector<UpstreamChange> {}; };
         hooks.localState.applyUpstreamChanges = [](auto const&, Instant) {};
@@ -214,7 +214,7 @@
     void check()
     {
         for (auto const& daemon : daemons) {
-            auto const provenAt = daemon->age.provenAt();
+            auto const provenAt = daemon->age.confirmedAt();
             for (auto const& [at, version] : m_versions) {
                 if (provenAt && version > daemon->state && at < *provenAt)
                     ++violations;
--- a/Utilities/stagepostctl/FleetConnection.cpp
+++ b/Utilities/stagepostctl/FleetConnection.cpp
@@ -50,7 +50,7 @@
         if (!reply)
             failure = reply.error();
         else if (reply->status != 200)
-            failure = Error(ErrorCode::Forged, vm.name + " answered " + std::to_string(reply->status) + ": " + reply->body);
+            failure = Error(ErrorCode::NotAuthenticated, vm.name + " answered " + std::to_string(reply->status) + ": " + reply->body);
         return reply && reply->status == 200 ? reply->body : "";
     };
     auto result = callRpc(send, method, parametersJson);
--- a/Utilities/stagepostctl/SettingsLog.cpp
+++ b/Utilities/stagepostctl/SettingsLog.cpp
@@ -25,7 +25,7 @@
 SettingsLog::SettingsLog(EventLoop& loop, Endpoint log)
     : m_loop(loop)
     , m_client(loop)
-    , m_log(std::move(log), fetchWith(m_client))
+    , m_log(std::move(log), makeFetchHook(m_client))
     , m_reader(isValidTree)
 {
 }
