--- a/Libraries/LibProxy/EventLoop.cpp
+++ b/Libraries/LibProxy/EventLoop.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-    // Whoever gives up the last work of a context stops it, so the guard goes before
-    // the restart: else the next run would end at once.
+    // Destroying a context's last work guard stops the context. The guard is therefore
+    // destroyed before restart(); otherwise the next run would return immediately.
     template <typename Run>
-    void runAgainAfter(Net::io_context& context, Run const& run)
+    void runAndRestart(Net::io_context& context, Run const& run)
     {
         {
             auto const keepRunning = Net::make_work_guard(context);
@@ -30,12 +30,12 @@
 
 void EventLoop::run()
 {
-    runAgainAfter(m_native->context, [this] { m_native->context.run(); });
+    runAndRestart(m_native->context, [this] { m_native->context.run(); });
 }
 
 void EventLoop::runFor(Milliseconds duration)
 {
-    runAgainAfter(m_native->context, [this, duration] { m_native->context.run_for(duration); });
+    runAndRestart(m_native->context, [this, duration] { m_native->context.run_for(duration); });
 }
 
 void EventLoop::stop()
--- a/Libraries/LibProxy/EventLoop.h
+++ b/Libraries/LibProxy/EventLoop.h
@@ -7,8 +7,8 @@
 
 namespace Stagepost {
 
-// The one thread's loop over sockets and timers. Everything that is handed to
-// it runs on the thread that calls run(), one piece after another.
+// A single-threaded event loop for sockets and timers. All callbacks run one
+// after another on the thread that calls run().
 class EventLoop {
 public:
     EventLoop();
@@ -18,20 +18,20 @@
 
     // Runs until stop() is called.
     void run();
-    // Runs what is due within the duration, then returns.
+    // Runs for the given duration or until stop() is called.
     void runFor(Milliseconds);
-    // May be called from any thread.
+    // Thread-safe.
     void stop();
 
     Instant now() const;
 
-    // Runs the function on the loop, not from within this call; from any thread.
+    // Queues the function to run on the loop, never from within this call. Thread-safe.
     void post(std::function<void()>);
 
-    // Calls back once for each arrival of one of the signals.
+    // Calls back each time one of the signals arrives.
     void onSignals(std::initializer_list<int> signals, std::function<void(int)> const& callback);
 
-    // The Boost.Asio side, for the other files of this library.
+    // The Boost.Asio implementation, for the other files of this library.
     struct Native;
     Native& native() { return *m_native; }
 
--- a/Libraries/LibProxy/Timer.h
+++ b/Libraries/LibProxy/Timer.h
@@ -4,7 +4,8 @@
 
 namespace Stagepost {
 
-// Calls back after a delay or at intervals; destroying it cancels what is due.
+// Calls back once after a delay or repeatedly at an interval. Its destruction cancels
+// pending callbacks.
 class Timer {
 public:
     explicit Timer(EventLoop&);
@@ -12,7 +13,7 @@
     Timer(Timer const&) = delete;
     Timer& operator=(Timer const&) = delete;
 
-    // Replaces whatever was scheduled before.
+    // Both replace the callback that was scheduled before.
     void once(Microseconds delay, std::function<void()>);
     void every(Microseconds interval, std::function<void()>);
     void cancel();
--- a/Tests/LibProxy/TestEventLoop.cpp
+++ b/Tests/LibProxy/TestEventLoop.cpp
@@ -5,10 +5,10 @@
 
 BOOST_AUTO_TEST_SUITE(EventLoopTests)
 
-// The operator's tool makes one call after the other, each with a run of the loop that
-// ends with its answer. Where nothing else was left to do at that moment, the next run
-// ended at once, and the next call's answer was written into a function that had returned.
-BOOST_AUTO_TEST_CASE(ALoopThatHasNothingLeftRunsAgain)
+// stagepostctl runs the loop once per request. If no work was left when a run ended, the
+// next run returned immediately, and the next response was written into the stack frame
+// of a function that had returned.
+BOOST_AUTO_TEST_CASE(RunsAgainAfterItsWorkIsDone)
 {
     EventLoop loop;
     size_t runs = 0;
@@ -29,7 +29,7 @@
     BOOST_TEST(runs == 4u);
 }
 
-BOOST_AUTO_TEST_CASE(AStopBeforeTheRunEndsIt)
+BOOST_AUTO_TEST_CASE(StopBeforeRunEndsTheRun)
 {
     EventLoop loop;
     loop.stop();
