--- a/Libraries/LibProxy/Endpoint.h
+++ b/Libraries/LibProxy/Endpoint.h
@@ -8,12 +8,12 @@
 
 namespace Stagepost {
 
-// An IP address, as a number, and a port. Names are never resolved.
+// A numeric IP address and a port. Host names are not supported.
 struct Endpoint {
     std::string address;
     uint16_t port { 0 };
 
-    // Reads "127.0.0.1:8080" or "[::1]:8080". Error: BadInput with the text.
+    // Parses "127.0.0.1:8080" or "[::1]:8080". The BadInput error quotes the text.
     static Result<Endpoint> parse(std::string_view text);
 
     std::string toString() const;
--- a/Libraries/LibProxy/Proxy.h
+++ b/Libraries/LibProxy/Proxy.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// The public header of LibProxy: HTTP between callers and upstreams, datagrams
-// between daemons, and the event loop that carries both. None of it includes
-// Boost.Asio, so that embedding it does not cost its compile time.
+// The public header of LibProxy: HTTP between clients and upstreams, UDP datagrams
+// between daemons, and the event loop for both. It does not include Boost.Asio, which
+// keeps the compile times of its users short.
 
 #include <LibProxy/DatagramSocket.h>
 #include <LibProxy/Endpoint.h>
