--- a/Libraries/LibProxy/EventProgress.h
+++ b/Libraries/LibProxy/EventProgress.h
@@ -5,13 +5,14 @@
 
 namespace Stagepost {
 
-// How far a stream of events has come at its caller, over all upstreams that it
-// was read from.
+// The state of an event stream towards its client. It is kept across all upstreams
+// that the stream is read from.
 struct EventProgress {
-    bool isHeadSent { false };
-    uint64_t events { 0 };
-    // The id of the last whole event that was passed on.
-    std::optional<uint64_t> lastId;
+    bool isHeaderSent { false };
+    // The number of events that were forwarded.
+    uint64_t eventCount { 0 };
+    // The highest event id that was forwarded.
+    std::optional<uint64_t> lastForwardedId;
 };
 
 }
--- a/Libraries/LibProxy/EventSplitter.cpp
+++ b/Libraries/LibProxy/EventSplitter.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-    // The position after the blank line that ends the first event, or npos.
-    size_t endOfEvent(std::string_view text, size_t from)
+    // Returns the position after the blank line that ends the next event, or npos.
+    size_t findEventEnd(std::string_view text, size_t from)
     {
-        auto const plain = text.find("\n\n", from);
-        auto const withReturns = text.find("\r\n\r\n", from);
-        auto const plainEnd = plain == std::string_view::npos ? plain : plain + 2;
-        auto const withReturnsEnd = withReturns == std::string_view::npos ? withReturns : withReturns + 4;
-        return std::min(plainEnd, withReturnsEnd);
+        auto const lineFeeds = text.find("\n\n", from);
+        auto const carriageReturns = text.find("\r\n\r\n", from);
+        auto const lineFeedsEnd = lineFeeds == std::string_view::npos ? lineFeeds : lineFeeds + 2;
+        auto const carriageReturnsEnd = carriageReturns == std::string_view::npos ? carriageReturns : carriageReturns + 4;
+        return std::min(lineFeedsEnd, carriageReturnsEnd);
     }
 
-    std::optional<uint64_t> idOf(std::string_view event)
+    std::optional<uint64_t> parseEventId(std::string_view event)
     {
         while (!event.empty()) {
             auto const line = event.substr(0, event.find('\n'));
@@ -36,32 +36,32 @@
 
 }
 
-std::string EventSplitter::take(std::string_view bytes)
+std::string EventSplitter::append(std::string_view bytes)
 {
-    // The blank line may have begun in the bytes that came before.
-    constexpr size_t longestSeparator = 4;
-    auto searchFrom = m_rest.size() < longestSeparator ? 0 : m_rest.size() - longestSeparator;
-    m_rest += bytes;
-    std::string whole;
+    // The blank line may have started in earlier bytes.
+    constexpr size_t maxSeparatorSize = 4;
+    auto searchFrom = m_incompleteEvent.size() < maxSeparatorSize ? 0 : m_incompleteEvent.size() - maxSeparatorSize;
+    m_incompleteEvent += bytes;
+    std::string newEvents;
     size_t begin = 0;
-    for (auto end = endOfEvent(m_rest, searchFrom); end != std::string::npos; end = endOfEvent(m_rest, end)) {
-        auto const event = std::string_view(m_rest).substr(begin, end - begin);
-        if (isNew(event))
-            whole += event;
+    for (auto end = findEventEnd(m_incompleteEvent, searchFrom); end != std::string::npos; end = findEventEnd(m_incompleteEvent, end)) {
+        auto const event = std::string_view(m_incompleteEvent).substr(begin, end - begin);
+        if (checkNew(event))
+            newEvents += event;
         begin = end;
     }
-    m_rest.erase(0, begin);
-    return whole;
+    m_incompleteEvent.erase(0, begin);
+    return newEvents;
 }
 
-bool EventSplitter::isNew(std::string_view event)
+bool EventSplitter::checkNew(std::string_view event)
 {
-    auto const id = idOf(event);
-    if (id && m_progress.lastId && *id <= *m_progress.lastId)
+    auto const id = parseEventId(event);
+    if (id && m_progress.lastForwardedId && *id <= *m_progress.lastForwardedId)
         return false;
     if (id)
-        m_progress.lastId = id;
-    ++m_progress.events;
+        m_progress.lastForwardedId = id;
+    ++m_progress.eventCount;
     return true;
 }
 
--- a/Libraries/LibProxy/EventSplitter.h
+++ b/Libraries/LibProxy/EventSplitter.h
@@ -6,10 +6,9 @@
 
 namespace Stagepost {
 
-// Cuts a stream of server-sent events into whole events. What is left of an
-// event that never ends is never given out, and an event whose id was passed on
-// before is left out, so that a stream taken up at another upstream neither
-// repeats nor mixes events.
+// Splits a stream of server-sent events into complete events. Incomplete events and
+// events whose id was forwarded before are not returned, so a stream that is resumed
+// from another upstream neither repeats events nor joins parts of different ones.
 class EventSplitter {
 public:
     explicit EventSplitter(EventProgress& progress)
@@ -17,17 +16,17 @@
     {
     }
 
-    // Takes the next bytes and gives the whole events that they complete.
-    std::string take(std::string_view bytes);
+    // Appends bytes of the stream and returns the new events that they complete.
+    std::string append(std::string_view bytes);
 
-    // Whether an event has begun and not ended.
-    bool isInsideEvent() const { return !m_rest.empty(); }
+    bool hasIncompleteEvent() const { return !m_incompleteEvent.empty(); }
 
 private:
-    bool isNew(std::string_view event);
+    // Also records the event as forwarded if it is new.
+    bool checkNew(std::string_view event);
 
     EventProgress& m_progress;
-    std::string m_rest;
+    std::string m_incompleteEvent;
 };
 
 }
