--- a/Libraries/LibProxy/Forward.h
+++ b/Libraries/LibProxy/Forward.h
@@ -12,7 +12,7 @@
 struct Endpoint;
 struct ForwardPlan;
 struct ForwardResult;
-struct HttpCall;
-struct HttpReply;
+struct HttpRequest;
+struct HttpResponse;
 
 }
--- a/Libraries/LibProxy/HttpMessage.cpp
+++ b/Libraries/LibProxy/HttpMessage.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    constexpr std::array<std::string_view, 8> hopByHopNames {
+    constexpr std::array<std::string_view, 8> hopByHopFieldNames {
         "connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade", "proxy-authorization"
     };
 
@@ -21,8 +21,8 @@
         return text;
     }
 
-    // The names that a Connection field lists, which go no further either.
-    std::vector<std::string> listedNames(std::string_view list)
+    // The field names that a Connection field lists, which are hop-by-hop as well.
+    std::vector<std::string> parseConnectionOptions(std::string_view list)
     {
         std::vector<std::string> names;
         while (!list.empty()) {
@@ -74,18 +74,18 @@
 
 void HttpFields::removeHopByHop()
 {
-    for (auto const& name : listedNames(find("Connection")))
+    for (auto const& name : parseConnectionOptions(find("Connection")))
         remove(name);
-    for (auto const name : hopByHopNames)
+    for (auto const name : hopByHopFieldNames)
         remove(name);
 }
 
-std::string_view HttpCall::path() const
+std::string_view HttpRequest::path() const
 {
     return std::string_view(target).substr(0, target.find('?'));
 }
 
-std::string_view HttpCall::query(std::string_view name) const
+std::string_view HttpRequest::queryParameter(std::string_view name) const
 {
     auto const mark = target.find('?');
     if (mark == std::string::npos)
@@ -101,12 +101,12 @@
     return {};
 }
 
-HttpReply jsonReply(unsigned status, std::string body)
+HttpResponse makeJsonResponse(unsigned status, std::string body)
 {
     return { status, { { "Content-Type", "application/json" } }, std::move(body) };
 }
 
-HttpReply textReply(unsigned status, std::string body)
+HttpResponse makeTextResponse(unsigned status, std::string body)
 {
     return { status, { { "Content-Type", "text/plain; charset=utf-8" } }, std::move(body) };
 }
--- a/Libraries/LibProxy/HttpMessage.h
+++ b/Libraries/LibProxy/HttpMessage.h
@@ -11,7 +11,7 @@
     std::string value;
 };
 
-// The header fields of a message, in order; names compare without regard to case.
+// The header fields of a message, in order. Field names are case-insensitive.
 class HttpFields {
 public:
     HttpFields() = default;
@@ -21,14 +21,15 @@
     }
 
     void add(std::string_view name, std::string_view value);
+    // Replaces all fields of that name.
     void set(std::string_view name, std::string_view value);
     void remove(std::string_view name);
 
-    // The first value of that name, or an empty one.
+    // The value of the first field of that name, or an empty string.
     std::string_view find(std::string_view name) const;
     bool contains(std::string_view name) const;
 
-    // Takes out the fields that belong to one connection and not to the message.
+    // Removes the hop-by-hop fields, including those that the Connection field lists.
     void removeHopByHop();
 
     auto begin() const { return m_fields.begin(); }
@@ -40,25 +41,25 @@
 
 bool equalsIgnoringCase(std::string_view, std::string_view);
 
-struct HttpCall {
+struct HttpRequest {
     std::string method { "GET" };
     std::string target { "/" };
     HttpFields headers;
     std::string body;
 
-    // The target up to, but without, its query.
+    // The target without its query.
     std::string_view path() const;
-    // The value of one query parameter, undecoded, or an empty one.
-    std::string_view query(std::string_view name) const;
+    // The value of a query parameter without percent-decoding, or an empty string.
+    std::string_view queryParameter(std::string_view name) const;
 };
 
-struct HttpReply {
+struct HttpResponse {
     unsigned status { 200 };
     HttpFields headers;
     std::string body;
 };
 
-HttpReply jsonReply(unsigned status, std::string body);
-HttpReply textReply(unsigned status, std::string body);
+HttpResponse makeJsonResponse(unsigned status, std::string body);
+HttpResponse makeTextResponse(unsigned status, std::string body);
 
 }
