--- a/Libraries/LibProxy/PortProbe.h
+++ b/Libraries/LibProxy/PortProbe.h
@@ -5,18 +5,17 @@
 
 namespace Stagepost {
 
-// What a process's port says of the process.
 enum class PortState : uint8_t {
-    // A connection came up: somebody listens.
+    // The connection was accepted, so a process is listening.
     Open,
-    // The connection was refused: the VM is there and the process is not.
+    // The connection was refused: the VM is running and the process is not.
     Closed,
-    // Nothing came back, which a cut or a lost VM explains as well.
-    Silent,
+    // Neither accepted nor refused, as after a network partition or the loss of the VM.
+    NoResponse,
 };
 
-// Finds out whether a process has ended, by opening a connection to its port and closing it
-// again without a byte.
+// Detects whether a process has ended, by opening a TCP connection to its port and
+// closing it without sending any data.
 class PortProbe {
 public:
     using Callback = std::function<void(PortState)>;
@@ -26,7 +25,7 @@
     {
     }
 
-    // Calls back once, by the time-out at the latest.
+    // Calls back exactly once, at the latest when the timeout expires.
     void probe(Endpoint const&, Milliseconds timeout, Callback);
 
 private:
--- a/Tests/LibProxy/TestPortProbe.cpp
+++ b/Tests/LibProxy/TestPortProbe.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// A port that somebody listens on until this is closed.
-class Port {
+// A listening TCP port, until close() is called.
+class ListeningPort {
 public:
-    Port()
+    ListeningPort()
         : m_listener(::socket(AF_INET, SOCK_STREAM, 0))
     {
         sockaddr_in address {};
@@ -23,9 +23,9 @@
         BOOST_REQUIRE(::getsockname(m_listener, reinterpret_cast<sockaddr*>(&address), &size) == 0);
         endpoint = { "127.0.0.1", ntohs(address.sin_port) };
     }
-    ~Port() { close(); }
-    Port(Port const&) = delete;
-    Port& operator=(Port const&) = delete;
+    ~ListeningPort() { close(); }
+    ListeningPort(ListeningPort const&) = delete;
+    ListeningPort& operator=(ListeningPort const&) = delete;
 
     void close()
     {
@@ -39,7 +39,7 @@
     int m_listener;
 };
 
-PortState stateOf(Endpoint const& endpoint)
+PortState probeState(Endpoint const& endpoint)
 {
     EventLoop loop;
     PortProbe probe(loop);
@@ -57,12 +57,12 @@
 
 BOOST_AUTO_TEST_SUITE(PortProbeTests)
 
-BOOST_AUTO_TEST_CASE(TellsAnOpenPortFromAClosedOne)
+BOOST_AUTO_TEST_CASE(DistinguishesOpenFromClosedPorts)
 {
-    Port port;
-    BOOST_TEST((stateOf(port.endpoint) == PortState::Open));
+    ListeningPort port;
+    BOOST_TEST((probeState(port.endpoint) == PortState::Open));
     port.close();
-    BOOST_TEST((stateOf(port.endpoint) == PortState::Closed));
+    BOOST_TEST((probeState(port.endpoint) == PortState::Closed));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
