--- a/Libraries/LibProxy/DatagramSocket.cpp
+++ b/Libraries/LibProxy/DatagramSocket.cpp
@@ -6,7 +6,7 @@
 namespace Stagepost {
 
 struct DatagramSocket::State : std::enable_shared_from_this<DatagramSocket::State> {
-    static constexpr size_t largestMessage = 65536;
+    static constexpr size_t maxDatagramSize = 65536; // bytes
 
     State(EventLoop& loop, Receiver function)
         : socket(loop.native().context)
@@ -21,7 +21,7 @@
                 return;
             if (!failure) {
                 self->bytesReceived += size;
-                self->receiver(endpointOf(self->sender), std::string_view(self->buffer.data(), size));
+                self->receiver(toEndpoint(self->sender), std::string_view(self->buffer.data(), size));
             }
             if (self->socket.is_open())
                 self->receiveNext();
@@ -31,7 +31,7 @@
     Udp::socket socket;
     Receiver receiver;
     Udp::endpoint sender;
-    std::array<char, largestMessage> buffer;
+    std::array<char, maxDatagramSize> buffer;
     uint64_t bytesSent { 0 };
     uint64_t messagesSent { 0 };
     uint64_t bytesReceived { 0 };
@@ -51,22 +51,22 @@
 
 Result<Endpoint> DatagramSocket::bind(Endpoint const& endpoint)
 {
-    auto const native = nativeEndpoint<Udp>(endpoint);
+    auto const nativeEndpoint = toNativeEndpoint<Udp>(endpoint);
     NetError failure;
-    m_state->socket.open(native.protocol(), failure);
+    m_state->socket.open(nativeEndpoint.protocol(), failure);
     if (!failure)
-        m_state->socket.bind(native, failure);
+        m_state->socket.bind(nativeEndpoint, failure);
     if (failure)
         return Error(ErrorCode::Unreachable, "cannot bind " + endpoint.toString() + ": " + failure.message());
     m_state->socket.non_blocking(true);
     m_state->receiveNext();
-    return endpointOf(m_state->socket.local_endpoint());
+    return toEndpoint(m_state->socket.local_endpoint());
 }
 
 void DatagramSocket::send(Endpoint const& to, std::string_view bytes)
 {
     NetError ignored;
-    m_state->socket.send_to(Net::buffer(bytes.data(), bytes.size()), nativeEndpoint<Udp>(to), 0, ignored);
+    m_state->socket.send_to(Net::buffer(bytes.data(), bytes.size()), toNativeEndpoint<Udp>(to), 0, ignored);
     m_state->bytesSent += bytes.size();
     ++m_state->messagesSent;
 }
--- a/Libraries/LibProxy/DatagramSocket.h
+++ b/Libraries/LibProxy/DatagramSocket.h
@@ -6,8 +6,8 @@
 
 namespace Stagepost {
 
-// Sends and receives the small messages between daemons. A message that the
-// network loses is lost; whoever needs an answer asks again.
+// A UDP socket for the messages between daemons. Delivery is not guaranteed and
+// nothing is retransmitted: a sender that needs a response sends its message again.
 class DatagramSocket {
 public:
     using Receiver = std::function<void(Endpoint const& from, std::string_view bytes)>;
@@ -17,7 +17,7 @@
     DatagramSocket(DatagramSocket const&) = delete;
     DatagramSocket& operator=(DatagramSocket const&) = delete;
 
-    // Binds to the address; port 0 takes a free one. Returns what was bound.
+    // Port 0 selects a free port. Returns the bound endpoint.
     Result<Endpoint> bind(Endpoint const&);
     void send(Endpoint const& to, std::string_view bytes);
 
--- a/Libraries/LibProxy/Detail/Native.h
+++ b/Libraries/LibProxy/Detail/Native.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The Boost.Asio side of the library; only its own .cpp files include this.
+// Boost.Asio types and helpers. Only the library's own files include this header.
 
 #include <LibProxy/Endpoint.h>
 #include <LibProxy/EventLoop.h>
@@ -20,15 +20,16 @@
 using Udp = Net::ip::udp;
 using NetError = boost::system::error_code;
 
-// Waits on the kernel's steady clock, and decides on ours: after a suspension it fires late by what was
-// left to wait, which other timers cut to a tick (50 ms).
+// Asio waits on the kernel's steady clock and checks expiry on MonotonicClock. After a suspension of the
+// VM a timer may therefore fire late, by up to the wait that was left. Asio checks all timers whenever one
+// fires, so the daemon's tick of 50 ms bounds the delay.
 using ClockTimer = Net::basic_waitable_timer<MonotonicClock>;
 
-// Beast's streams count their time-outs on it. What they bound is how long a transfer makes no progress,
-// and a suspension is no fault of the other end's.
+// The clock of Beast's stream timeouts. It stops during a suspension of the VM, so the suspension is not
+// counted as a stalled transfer.
 using TransferClock = std::chrono::steady_clock;
 
-// Completions give the error as a value instead of throwing it.
+// Makes awaited operations return their error code instead of throwing it.
 constexpr auto useTuple = Net::as_tuple(Net::use_awaitable);
 
 struct EventLoop::Native {
@@ -37,13 +38,13 @@
 };
 
 template <typename Protocol>
-typename Protocol::endpoint nativeEndpoint(Endpoint const& endpoint)
+typename Protocol::endpoint toNativeEndpoint(Endpoint const& endpoint)
 {
     return { Net::ip::make_address(endpoint.address), endpoint.port };
 }
 
 template <typename NativeEndpoint>
-Endpoint endpointOf(NativeEndpoint const& native)
+Endpoint toEndpoint(NativeEndpoint const& native)
 {
     return { native.address().to_string(), native.port() };
 }
