--- a/Libraries/LibProxy/Detail/IdleWatchdog.h
+++ b/Libraries/LibProxy/Detail/IdleWatchdog.h
@@ -7,94 +7,93 @@
 
 namespace Stagepost {
 
-// Calls back when nothing has happened for a while, or when a fixed end has come.
-// Saying that something has happened only notes the time, which is far cheaper
-// than a timer for each read and each write of a stream.
+// Calls back after an idle timeout or at a fixed deadline. Recording activity only stores
+// the time, which is much cheaper than rearming a timer for every read and write.
 class IdleWatchdog {
 public:
     using Clock = MonotonicClock;
 
-    IdleWatchdog(Net::io_context& context, Milliseconds limit, std::optional<Clock::time_point> end, std::function<void()> expired)
-        : m_state(std::make_shared<State>(context, limit, end, std::move(expired)))
+    IdleWatchdog(Net::io_context& context, Milliseconds idleTimeout, std::optional<Clock::time_point> deadline, std::function<void()> onExpired)
+        : m_state(std::make_shared<State>(context, idleTimeout, deadline, std::move(onExpired)))
     {
-        m_state->arm(m_state->dueAt());
+        m_state->arm(m_state->expiryTime());
     }
 
     ~IdleWatchdog()
     {
-        m_state->expired = nullptr;
-        m_state->goesOn = nullptr;
+        m_state->onExpired = nullptr;
+        m_state->shouldExtend = nullptr;
         m_state->timer.cancel();
     }
     IdleWatchdog(IdleWatchdog const&) = delete;
     IdleWatchdog& operator=(IdleWatchdog const&) = delete;
 
-    // Asked before it expires, but not at the fixed end: true begins the phase anew.
-    void extendBy(std::function<bool()> goesOn) { m_state->goesOn = std::move(goesOn); }
+    // Called when the idle timeout expires, but not at the deadline: true restarts the timeout.
+    void setExtendCallback(std::function<bool()> shouldExtend) { m_state->shouldExtend = std::move(shouldExtend); }
 
-    void touch() { m_state->lastActivity = Clock::now(); }
+    void recordActivity() { m_state->lastActivity = Clock::now(); }
 
-    // Begins a phase in which nothing may happen for that long.
-    void allow(Milliseconds limit)
+    // Restarts the idle timeout with a new duration.
+    void restart(Milliseconds idleTimeout)
     {
-        touch();
-        m_state->limit = limit;
-        if (m_state->dueAt() < m_state->armedUntil)
-            m_state->arm(m_state->dueAt());
+        recordActivity();
+        m_state->idleTimeout = idleTimeout;
+        if (m_state->expiryTime() < m_state->armedUntil)
+            m_state->arm(m_state->expiryTime());
     }
 
     bool hasExpired() const { return m_state->hasExpired; }
-    bool hasReachedEnd() const { return m_state->hasExpired && m_state->isAtEnd(); }
+    bool hasReachedDeadline() const { return m_state->hasExpired && m_state->isPastDeadline(); }
 
 private:
     struct State : std::enable_shared_from_this<State> {
-        State(Net::io_context& context, Milliseconds idleLimit, std::optional<Clock::time_point> fixedEnd, std::function<void()> callback)
+        State(Net::io_context& context, Milliseconds initialTimeout, std::optional<Clock::time_point> fixedDeadline, std::function<void()> callback)
             : timer(context)
-            , limit(idleLimit)
-            , end(fixedEnd)
-            , expired(std::move(callback))
+            , idleTimeout(initialTimeout)
+            , deadline(fixedDeadline)
+            , onExpired(std::move(callback))
             , lastActivity(Clock::now())
         {
         }
 
-        Clock::time_point dueAt() const
+        Clock::time_point expiryTime() const
         {
-            auto const idleEnd = lastActivity + limit;
-            return end ? std::min(idleEnd, *end) : idleEnd;
+            auto const idleEnd = lastActivity + idleTimeout;
+            return deadline ? std::min(idleEnd, *deadline) : idleEnd;
         }
 
-        bool isAtEnd() const { return end && Clock::now() >= *end; }
+        bool isPastDeadline() const { return deadline && Clock::now() >= *deadline; }
 
-        void arm(Clock::time_point due)
+        void arm(Clock::time_point expiry)
         {
-            armedUntil = due;
-            timer.expires_at(due);
+            armedUntil = expiry;
+            timer.expires_at(expiry);
             timer.async_wait([self = shared_from_this()](NetError failure) {
-                if (!failure && self->expired)
+                if (!failure && self->onExpired)
                     self->check();
             });
         }
 
         void check()
         {
-            if (Clock::now() < dueAt()) {
-                arm(dueAt());
+            if (Clock::now() < expiryTime()) {
+                arm(expiryTime());
                 return;
             }
-            if (!isAtEnd() && goesOn && goesOn()) {
+            if (!isPastDeadline() && shouldExtend && shouldExtend()) {
                 lastActivity = Clock::now();
-                arm(dueAt());
+                arm(expiryTime());
                 return;
             }
             hasExpired = true;
-            expired();
+            onExpired();
         }
 
         ClockTimer timer;
-        Milliseconds limit;
-        std::optional<Clock::time_point> end;
-        std::function<void()> expired;
-        std::function<bool()> goesOn;
+        Milliseconds idleTimeout;
+        std::optional<Clock::time_point> deadline;
+        std::function<void()> onExpired;
+        std::function<bool()> shouldExtend;
         Clock::time_point lastActivity;
         Clock::time_point armedUntil;
         bool hasExpired { false };
--- a/Tests/LibProxy/TestIdleWatchdog.cpp
+++ b/Tests/LibProxy/TestIdleWatchdog.cpp
@@ -5,30 +5,30 @@
 
 BOOST_AUTO_TEST_SUITE(IdleWatchdogTests)
 
-BOOST_AUTO_TEST_CASE(ItGoesOnForAsLongAsItIsTold)
+BOOST_AUTO_TEST_CASE(ExpiresWhenTheCallbackStopsExtending)
 {
     Net::io_context context;
-    int asked = 0;
+    int calls = 0;
     int expired = 0;
     IdleWatchdog watchdog(context, Milliseconds(1), std::nullopt, [&] { ++expired; });
-    watchdog.extendBy([&] { return ++asked < 3; });
+    watchdog.setExtendCallback([&] { return ++calls < 3; });
     context.run();
-    BOOST_TEST(asked == 3);
+    BOOST_TEST(calls == 3);
     BOOST_TEST(expired == 1);
     BOOST_TEST(watchdog.hasExpired());
-    BOOST_TEST(!watchdog.hasReachedEnd());
+    BOOST_TEST(!watchdog.hasReachedDeadline());
 }
 
-BOOST_AUTO_TEST_CASE(ItsFixedEndIsNotExtended)
+BOOST_AUTO_TEST_CASE(DeadlineIsNotExtended)
 {
     Net::io_context context;
     int expired = 0;
-    auto const end = IdleWatchdog::Clock::now() + Milliseconds(20);
-    IdleWatchdog watchdog(context, Milliseconds(1), end, [&] { ++expired; });
-    watchdog.extendBy([] { return true; });
+    auto const deadline = IdleWatchdog::Clock::now() + Milliseconds(20);
+    IdleWatchdog watchdog(context, Milliseconds(1), deadline, [&] { ++expired; });
+    watchdog.setExtendCallback([] { return true; });
     context.run();
     BOOST_TEST(expired == 1);
-    BOOST_TEST(watchdog.hasReachedEnd());
+    BOOST_TEST(watchdog.hasReachedDeadline());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
