--- a/Libraries/LibProxy/Exchange.h
+++ b/Libraries/LibProxy/Exchange.h
@@ -7,30 +7,30 @@
 
 namespace Stagepost {
 
-// One request of a caller, until it has its answer. The handler answers it by
-// respond() or forward(), at once or later; when a forward fails before the
-// caller has seen any of its answer, the handler chooses again.
+// One request of a client, until its response is complete. The handler calls
+// respond() or forward(), immediately or later. When a forward fails before any
+// of its response was written to the client, the handler calls one of them again.
 class Exchange {
 public:
-    using Finished = std::function<void(ForwardResult const&)>;
+    using ForwardCallback = std::function<void(ForwardResult const&)>;
 
     Exchange() = default;
     virtual ~Exchange() = default;
     Exchange(Exchange const&) = delete;
     Exchange& operator=(Exchange const&) = delete;
 
-    virtual HttpCall const& call() const = 0;
-    virtual void respond(HttpReply) = 0;
-    virtual void forward(ForwardPlan, Finished) = 0;
-    // Breaks the answer off where it is, by closing the caller's connection. A
-    // stream of events that failed on the way is either forwarded again or
-    // abandoned; every other answer that fails after its start is broken off
-    // without asking.
-    virtual void abandon() = 0;
-
-    // Called at most once, when the caller leaves before its answer is complete.
-    virtual void onCallerGone(std::function<void()>) = 0;
-    virtual bool isCallerGone() const = 0;
+    virtual HttpRequest const& request() const = 0;
+    virtual void respond(HttpResponse) = 0;
+    virtual void forward(ForwardPlan, ForwardCallback) = 0;
+    // Truncates the response by closing the client's connection. After a failure of a
+    // stream with an EventProgress, the handler either forwards the request again or
+    // aborts the exchange. Every other response that fails after its start is truncated
+    // without a call to abort().
+    virtual void abort() = 0;
+
+    // Calls back at most once, if the client disconnects before its response is complete.
+    virtual void onClientDisconnect(std::function<void()>) = 0;
+    virtual bool isClientDisconnected() const = 0;
 };
 
 using ExchangeHandler = std::function<void(std::shared_ptr<Exchange>)>;
--- a/Libraries/LibProxy/ForwardPlan.h
+++ b/Libraries/LibProxy/ForwardPlan.h
@@ -11,69 +11,71 @@
 
 namespace Stagepost {
 
-// An upstream's answer that is not passed on, and what it says of the request.
-struct HeadRejection {
+// Why an upstream's response is not forwarded, and whether the request has run.
+struct ResponseRejection {
     RefusalReason reason { RefusalReason::UpstreamRefused };
     Verdict verdict { Verdict::MayHaveRun };
     std::string detail;
 };
 
-// Looks at the head of an answer before any of it is passed on.
-using HeadJudge = std::function<std::optional<HeadRejection>(unsigned status, HttpFields const&)>;
+// Examines a response header before any of the response is forwarded. Empty accepts it.
+using ResponseFilter = std::function<std::optional<ResponseRejection>(unsigned status, HttpFields const&)>;
 
-// By what an upstream shows that it can be reached.
-enum class UpstreamSign : uint8_t {
-    // A new connection to it came up.
+// Events which show that an upstream is reachable.
+enum class UpstreamActivity : uint8_t {
+    // A new connection was established.
     Connected,
-    AnswerBegan,
-    AnswerWentOn,
+    ResponseStarted,
+    ResponseDataReceived,
 };
 
-// How one request goes to one upstream.
+// How to forward one request to one upstream.
 struct ForwardPlan {
     Endpoint upstream;
-    HttpCall call;
-    // Fields that the answer carries besides the upstream's own.
-    HttpFields answerHeaders;
+    HttpRequest request;
+    // Added to the upstream's response, where they replace fields of the same name.
+    HttpFields extraResponseHeaders;
     Milliseconds connectTimeout { 1000 };
-    // Until the answer's first byte.
-    Milliseconds answerTimeout { 60000 };
-    // Between one part of the answer and the next, and for the caller to take one.
+    // From the start of the request until the response header was read.
+    Milliseconds responseHeaderTimeout { 60000 };
+    // Between two reads of the response body, and for each write to the client.
     Milliseconds idleTimeout { 60000 };
-    // Asked when the upstream has been silent for that long: true waits as long again.
-    // None gives up.
-    std::function<bool()> waitsOn;
-    // A connection used before may have been closed by its other end, which
-    // leaves a doubt about the request; a call that may not be repeated avoids it.
-    bool freshConnection { false };
-    // How long a connection may have rested and still be used for this request.
-    Milliseconds longestRest { 60000 };
-    // How many idle connections to this upstream may be kept for later requests.
-    // Upstreams bound the connections of all their callers together.
-    size_t mostIdleConnections { 64 };
-    // How much of the answer to keep for a resend; 0 keeps none.
-    size_t keepBytes { 0 };
-    // An answer of up to this size is passed on only once it is whole, so that
-    // one that breaks off can be asked for again. Event streams are not held.
-    size_t holdBytes { 0 };
-    // The field in which the request carries its id and the answer repeats it.
-    std::string idField { "X-Request-Id" };
-    // The id itself, which every answer must then repeat. Where it is empty, one
-    // is made, and only answers on connections used before must repeat it.
-    std::string id;
-    // Whether the request keeps the caller's Host field.
-    bool keepsHost { false };
-    // None passes every answer on.
-    HeadJudge judge;
-    // Set for a stream of events that is passed on event by event, and shared by
-    // all forwards that continue one answer.
+    // Called when the upstream has sent nothing for responseHeaderTimeout or idleTimeout:
+    // true restarts the timeout. Without it the forward fails.
+    std::function<bool()> shouldKeepWaiting;
+    // The upstream may close a reused connection at any time, and then it is unknown
+    // whether the request has run. Set for requests that must not be repeated.
+    bool requireNewConnection { false };
+    // Connections that have been idle for longer are not reused for this request.
+    Milliseconds maxConnectionIdleTime { 60000 };
+    // The number of idle connections to keep to this upstream. Upstreams limit the
+    // connections of all their clients together.
+    size_t maxIdleConnections { 64 };
+    // The size up to which the response body is recorded, to be sent again later;
+    // 0 records nothing.
+    size_t maxRecordedBytes { 0 };
+    // Responses up to this size are buffered and forwarded once they are complete, so
+    // that the request can be retried if the response breaks off. Streams with an
+    // EventProgress are not buffered.
+    size_t maxBufferedBytes { 0 };
+    // The field that carries the request's id and is repeated in the response.
+    std::string requestIdField { "X-Request-Id" };
+    // If set, every response must repeat it. If empty, an id is generated, and only
+    // responses on reused connections must repeat it.
+    std::string requestId;
+    // Whether to send the client's Host field instead of the upstream's address.
+    bool preserveHost { false };
+    // Without it every response is forwarded.
+    ResponseFilter responseFilter;
+    // Set for an event stream that is forwarded event by event. All forwards that
+    // continue the same response share it.
     std::shared_ptr<EventProgress> progress;
-    // Whether a stream that breaks tells the caller so in a last event.
-    bool endsWithErrorEvent { true };
-    // Told of each sign of life of the upstream; none for nobody.
-    std::function<void(UpstreamSign)> heard;
-    // When the forward is given up, whatever it has come to.
-    std::optional<Instant> limit;
+    // Whether an event stream that fails ends with an error event.
+    bool sendErrorEvent { true };
+    // May be empty.
+    std::function<void(UpstreamActivity)> onUpstreamActivity;
+    // When to cancel the forward, regardless of its progress.
+    std::optional<Instant> deadline;
 };
 
 }
--- a/Libraries/LibProxy/ForwardResult.h
+++ b/Libraries/LibProxy/ForwardResult.h
@@ -7,25 +7,29 @@
 
 namespace Stagepost {
 
-// What became of one forward.
+// The outcome of forwarding a request to one upstream.
 struct ForwardResult {
-    // NotRun only where not one byte of the request was sent.
+    // NotRun if no connection came up, or if the response filter determined it.
     Verdict verdict { Verdict::NotRun };
-    // Why it failed; none when the whole answer reached the caller.
+    // Empty if the client received the complete response.
     std::optional<RefusalReason> failure;
     std::string detail;
-    // Whether the caller has seen any of the answer, after which nothing else can be sent.
-    bool answerStarted { false };
+    // Whether the response header was written to the client. No other response can be
+    // sent after that.
+    bool responseStarted { false };
     unsigned status { 0 };
-    uint64_t answerBytes { 0 };
-    uint64_t answerParts { 0 };
-    Microseconds firstByteAfter { 0 };
-    // The answer as the upstream gave it, where the plan asked to keep it.
-    HttpReply kept;
-    bool keptWhole { false };
+    // Body bytes written to the client, and the number of writes.
+    uint64_t responseBytes { 0 };
+    uint64_t responseWrites { 0 };
+    // Time from the start of the request until the response header was read.
+    Microseconds timeToResponseHeader { 0 };
+    // The upstream's response, if the plan sets maxRecordedBytes.
+    HttpResponse recordedResponse;
+    // Whether the whole body fitted into maxRecordedBytes.
+    bool isRecordingComplete { false };
     bool reusedConnection { false };
-    // The forward was given up at its plan's limit.
-    bool reachedLimit { false };
+    // Whether the forward was cancelled at the plan's deadline.
+    bool deadlineReached { false };
 };
 
 }
