--- a/Libraries/LibProxy/Detail/Exchange.cpp
+++ b/Libraries/LibProxy/Detail/Exchange.cpp
@@ -2,31 +2,31 @@
 
 namespace Stagepost {
 
-void SessionExchange::choose(Choice choice)
+void SessionExchange::setAction(Action action)
 {
-    m_choice = std::move(choice);
-    m_chosen.cancel();
+    m_action = std::move(action);
+    m_actionReady.cancel();
 }
 
-Net::awaitable<SessionExchange::Choice> SessionExchange::nextChoice()
+Net::awaitable<SessionExchange::Action> SessionExchange::nextAction()
 {
-    while (std::holds_alternative<std::monostate>(m_choice) && !m_callerGone && !m_isAbandoned)
-        co_await m_chosen.async_wait(useTuple);
-    if (m_callerGone || m_isAbandoned)
-        co_return Choice {};
-    co_return std::exchange(m_choice, Choice {});
+    while (std::holds_alternative<std::monostate>(m_action) && !m_isClientDisconnected && !m_isAborted)
+        co_await m_actionReady.async_wait(useTuple);
+    if (m_isClientDisconnected || m_isAborted)
+        co_return Action {};
+    co_return std::exchange(m_action, Action {});
 }
 
-void SessionExchange::callerHasGone()
+void SessionExchange::handleClientDisconnect()
 {
-    if (m_callerGone)
+    if (m_isClientDisconnected)
         return;
-    m_callerGone = true;
-    m_chosen.cancel();
+    m_isClientDisconnected = true;
+    m_actionReady.cancel();
     if (m_upstream)
         m_upstream->close();
-    if (auto const hook = std::exchange(m_callerGoneHook, nullptr))
-        hook();
+    if (auto const callback = std::exchange(m_disconnectCallback, nullptr))
+        callback();
 }
 
 }
--- a/Libraries/LibProxy/Detail/Exchange.h
+++ b/Libraries/LibProxy/Detail/Exchange.h
@@ -6,51 +6,53 @@
 
 namespace Stagepost {
 
-// The session's side of an exchange: it waits here for the handler's choice.
+// The session's implementation of an exchange. The session waits in nextAction() for
+// the handler to respond or forward.
 class SessionExchange final : public Exchange {
 public:
-    struct ForwardChoice {
+    struct ForwardAction {
         ForwardPlan plan;
-        Finished finished;
+        ForwardCallback callback;
     };
-    using Choice = std::variant<std::monostate, HttpReply, ForwardChoice>;
+    using Action = std::variant<std::monostate, HttpResponse, ForwardAction>;
 
-    SessionExchange(Net::io_context& context, HttpCall call)
-        : m_call(std::move(call))
-        , m_chosen(context, ClockTimer::time_point::max())
+    SessionExchange(Net::io_context& context, HttpRequest request)
+        : m_request(std::move(request))
+        , m_actionReady(context, ClockTimer::time_point::max())
     {
     }
 
-    HttpCall const& call() const override { return m_call; }
-    void respond(HttpReply reply) override { choose(std::move(reply)); }
-    void forward(ForwardPlan plan, Finished finished) override { choose(ForwardChoice { std::move(plan), std::move(finished) }); }
-    void abandon() override
+    HttpRequest const& request() const override { return m_request; }
+    void respond(HttpResponse response) override { setAction(std::move(response)); }
+    void forward(ForwardPlan plan, ForwardCallback callback) override { setAction(ForwardAction { std::move(plan), std::move(callback) }); }
+    void abort() override
     {
-        m_isAbandoned = true;
-        m_chosen.cancel();
+        m_isAborted = true;
+        m_actionReady.cancel();
     }
-    void onCallerGone(std::function<void()> callback) override { m_callerGoneHook = std::move(callback); }
-    bool isCallerGone() const override { return m_callerGone; }
+    void onClientDisconnect(std::function<void()> callback) override { m_disconnectCallback = std::move(callback); }
+    bool isClientDisconnected() const override { return m_isClientDisconnected; }
 
-    // Waits until the handler has chosen or the caller has gone; the choice is
-    // empty when the caller has gone or the answer is abandoned.
-    Net::awaitable<Choice> nextChoice();
+    // Waits for the handler's next action. The action is empty if the client has
+    // disconnected or the exchange was aborted.
+    Net::awaitable<Action> nextAction();
 
-    void callerHasGone();
+    void handleClientDisconnect();
 
-    // The upstream stream in use, which a leaving caller closes.
+    // The upstream connection in use, which is closed if the client disconnects.
     void setUpstream(TcpStream* stream) { m_upstream = stream; }
 
 private:
-    void choose(Choice);
+    void setAction(Action);
 
-    HttpCall m_call;
-    ClockTimer m_chosen;
-    Choice m_choice;
-    std::function<void()> m_callerGoneHook;
+    HttpRequest m_request;
+    // Never expires: cancelling it wakes nextAction().
+    ClockTimer m_actionReady;
+    Action m_action;
+    std::function<void()> m_disconnectCallback;
     TcpStream* m_upstream { nullptr };
-    bool m_callerGone { false };
-    bool m_isAbandoned { false };
+    bool m_isClientDisconnected { false };
+    bool m_isAborted { false };
 };
 
 }
