--- a/Libraries/LibProxy/Detail/Session.cpp
+++ b/Libraries/LibProxy/Detail/Session.cpp
@@ -7,25 +7,25 @@
 
 namespace {
 
-    constexpr size_t readAhead = 4096;
+    constexpr size_t initialReadSize = 4096; // bytes
 
-    HttpCall callOf(Http::request<Http::string_body> const& request)
+    HttpRequest toHttpRequest(Http::request<Http::string_body> const& message)
     {
-        HttpCall call;
-        call.method = request.method_string();
-        call.target = request.target();
-        for (auto const& field : request)
-            call.headers.add(field.name_string(), field.value());
-        call.body = request.body();
-        return call;
+        HttpRequest request;
+        request.method = message.method_string();
+        request.target = message.target();
+        for (auto const& field : message)
+            request.headers.add(field.name_string(), field.value());
+        request.body = message.body();
+        return request;
     }
 
-    Refusal refusalOf(NetError failure)
+    Refusal refusalForReadError(NetError failure)
     {
         if (failure == Http::error::body_limit)
-            return { RefusalReason::BodyTooLarge, Verdict::NotRun, "the body is larger than this daemon takes", {} };
+            return { RefusalReason::BodyTooLarge, Verdict::NotRun, "the request body exceeds this daemon's limit", {} };
         if (failure == Http::error::header_limit || failure == Http::error::buffer_overflow)
-            return { RefusalReason::HeadersTooLarge, Verdict::NotRun, "the header fields are larger than this daemon takes", {} };
+            return { RefusalReason::HeadersTooLarge, Verdict::NotRun, "the request header exceeds this daemon's limit", {} };
         if (failure == Beast::error::timeout)
             return { RefusalReason::SlowCaller, Verdict::NotRun, "the request did not arrive in time", {} };
         if (failure == Http::error::partial_message)
@@ -45,7 +45,7 @@
 {
     auto const self = shared_from_this();
     m_server->sessions.insert(this);
-    while (co_await serveOne()) {
+    while (co_await serveRequest()) {
         if (m_server->stopped)
             break;
     }
@@ -56,7 +56,7 @@
 
 void Session::closeIfIdle()
 {
-    if (!m_busy)
+    if (!m_isBusy)
         m_stream.close();
 }
 
@@ -65,105 +65,105 @@
     m_stream.close();
 }
 
-Net::awaitable<bool> Session::serveOne()
+Net::awaitable<bool> Session::serveRequest()
 {
     RequestParser parser;
     bool const isRead = co_await readRequest(parser);
     if (!isRead) {
-        m_busy = false;
+        m_isBusy = false;
         co_return false;
     }
-    auto exchange = std::make_shared<SessionExchange>(m_server->context, callOf(parser.get()));
+    auto exchange = std::make_shared<SessionExchange>(m_server->context, toHttpRequest(parser.get()));
     ++m_server->openExchanges;
-    watchCaller(exchange);
+    watchForDisconnect(exchange);
     m_server->handler(exchange);
-    bool const keepAlive = co_await answer(parser, exchange);
+    bool const keepAlive = co_await sendResponse(parser, exchange);
     m_stopWatching.emit(Net::cancellation_type::terminal);
     --m_server->openExchanges;
-    m_busy = false;
+    m_isBusy = false;
     co_return keepAlive;
 }
 
 Net::awaitable<bool> Session::readRequest(RequestParser& parser)
 {
-    parser.header_limit(static_cast<uint32_t>(m_server->options.largestHeaders));
-    parser.body_limit(m_server->options.largestBody);
+    parser.header_limit(static_cast<uint32_t>(m_server->options.maxHeaderSize));
+    parser.body_limit(m_server->options.maxBodySize);
     NetError failure;
     if (m_buffer.size() == 0) {
         m_stream.expires_after(m_server->options.keepAliveTimeout);
-        auto [firstFailure, size] = co_await m_stream.async_read_some(m_buffer.prepare(readAhead), useTuple);
+        auto [firstFailure, size] = co_await m_stream.async_read_some(m_buffer.prepare(initialReadSize), useTuple);
         if (firstFailure)
             co_return false;
         m_buffer.commit(size);
     }
-    // From its first byte on a request is owed an answer: closing the connection
-    // between its reading and its handling would lose it.
-    m_busy = true;
+    // Once the first byte of a request has arrived, the request must get a response.
+    // closeIfIdle() would lose it between its reading and its handling.
+    m_isBusy = true;
     m_stream.expires_after(m_server->options.requestTimeout);
     std::tie(failure, std::ignore) = co_await Http::async_read_header(m_stream, m_buffer, parser, useTuple);
     if (!failure && equalsIgnoringCase(parser.get()[Http::field::expect], "100-continue")) {
-        constexpr std::string_view goOn = "HTTP/1.1 100 Continue\r\n\r\n";
-        std::tie(failure, std::ignore) = co_await Net::async_write(m_stream, Net::buffer(goOn), useTuple);
+        constexpr std::string_view continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
+        std::tie(failure, std::ignore) = co_await Net::async_write(m_stream, Net::buffer(continueResponse), useTuple);
     }
     if (!failure)
         std::tie(failure, std::ignore) = co_await Http::async_read(m_stream, m_buffer, parser, useTuple);
     if (!failure)
         co_return true;
     if (failure != Http::error::end_of_stream)
-        co_await refuseUnreadable(failure);
+        co_await rejectUnreadableRequest(failure);
     co_return false;
 }
 
-// A timeout has closed the stream already; the reply is then only counted.
-Net::awaitable<void> Session::refuseUnreadable(NetError failure)
+// A timeout has already closed the stream. The refusal hook is still called, which counts the rejection.
+Net::awaitable<void> Session::rejectUnreadableRequest(NetError failure)
 {
-    auto reply = m_server->refusalReply(refusalOf(failure));
+    auto response = m_server->refusalHook(refusalForReadError(failure));
     if (!m_stream.socket().is_open())
         co_return;
     m_stream.expires_after(m_server->options.requestTimeout);
-    co_await writeReply(std::move(reply), 11, false, false);
+    co_await writeResponse(std::move(response), 11, false, false);
 }
 
-Net::awaitable<bool> Session::answer(RequestParser const& parser, std::shared_ptr<SessionExchange> exchange)
+Net::awaitable<bool> Session::sendResponse(RequestParser const& parser, std::shared_ptr<SessionExchange> exchange)
 {
     auto const version = parser.get().version();
-    bool const keepAlive = parser.keep_alive() && !m_server->closing;
+    bool const keepAlive = parser.keep_alive() && !m_server->closeAfterResponse;
     bool const isHead = parser.get().method() == Http::verb::head;
     while (true) {
-        auto choice = co_await exchange->nextChoice();
-        if (auto* reply = std::get_if<HttpReply>(&choice))
-            co_return co_await writeReply(std::move(*reply), version, keepAlive, isHead);
-        auto* forward = std::get_if<SessionExchange::ForwardChoice>(&choice);
+        auto action = co_await exchange->nextAction();
+        if (auto* response = std::get_if<HttpResponse>(&action))
+            co_return co_await writeResponse(std::move(*response), version, keepAlive, isHead);
+        auto* forward = std::get_if<SessionExchange::ForwardAction>(&action);
         if (!forward)
             co_return false;
         Forwarder forwarder(m_server->context, m_server->upstreams, *exchange, { m_stream, version >= 11, keepAlive, isHead }, forward->plan);
         auto const result = co_await forwarder.run();
-        forward->finished(result);
-        bool const mayContinue = result.failure && forward->plan.progress;
-        if (result.answerStarted && !mayContinue)
-            co_return forwarder.callerKeptAlive() && !result.failure;
+        forward->callback(result);
+        bool const canContinue = result.failure && forward->plan.progress;
+        if (result.responseStarted && !canContinue)
+            co_return forwarder.isClientKeptAlive() && !result.failure;
     }
 }
 
-Net::awaitable<bool> Session::writeReply(HttpReply reply, unsigned version, bool keepAlive, bool isHead)
+Net::awaitable<bool> Session::writeResponse(HttpResponse response, unsigned version, bool keepAlive, bool isHead)
 {
-    Http::response<Http::string_body> answer;
-    answer.version(version);
-    answer.result(reply.status);
-    for (auto const& field : reply.headers)
-        answer.insert(field.name, field.value);
-    answer.keep_alive(keepAlive);
-    answer.content_length(reply.body.size());
+    Http::response<Http::string_body> message;
+    message.version(version);
+    message.result(response.status);
+    for (auto const& field : response.headers)
+        message.insert(field.name, field.value);
+    message.keep_alive(keepAlive);
+    message.content_length(response.body.size());
     if (!isHead)
-        answer.body() = std::move(reply.body);
+        message.body() = std::move(response.body);
     m_stream.expires_after(m_server->options.requestTimeout);
-    auto [failure, written] = co_await Http::async_write(m_stream, answer, useTuple);
+    auto [failure, written] = co_await Http::async_write(m_stream, message, useTuple);
     co_return keepAlive && !failure;
 }
 
-// While a request is being answered its caller sends nothing, unless it sends
-// the next request early. The end of its stream means that it has gone.
-void Session::watchCaller(std::shared_ptr<SessionExchange> const& exchange)
+// While a request is served its client sends nothing, except for pipelined requests.
+// An end of file or an error means that the client has disconnected.
+void Session::watchForDisconnect(std::shared_ptr<SessionExchange> const& exchange)
 {
     auto onReadable = [self = shared_from_this(), weak = std::weak_ptr(exchange)](NetError failure) {
         auto const watched = weak.lock();
@@ -172,7 +172,7 @@
         char byte = 0;
         auto const received = ::recv(self->m_stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
         if (received == 0 || (received < 0 && errno != EAGAIN))
-            watched->callerHasGone();
+            watched->handleClientDisconnect();
     };
     m_stream.socket().async_wait(Tcp::socket::wait_read, Net::bind_cancellation_slot(m_stopWatching.slot(), std::move(onReadable)));
 }
--- a/Libraries/LibProxy/Detail/Session.h
+++ b/Libraries/LibProxy/Detail/Session.h
@@ -10,11 +10,11 @@
 class Session;
 
 struct HttpServer::State : std::enable_shared_from_this<HttpServer::State> {
-    State(EventLoop& loop, HttpServerOptions chosen, ExchangeHandler handle, RefusalHook refuse)
+    State(EventLoop& loop, HttpServerOptions initialOptions, ExchangeHandler exchangeHandler, RefusalHook hook)
         : context(loop.native().context)
-        , options(chosen)
-        , handler(std::move(handle))
-        , refusalReply(std::move(refuse))
+        , options(initialOptions)
+        , handler(std::move(exchangeHandler))
+        , refusalHook(std::move(hook))
         , acceptor(context)
     {
     }
@@ -24,41 +24,41 @@
     Net::io_context& context;
     HttpServerOptions options;
     ExchangeHandler handler;
-    RefusalHook refusalReply;
+    RefusalHook refusalHook;
     Tcp::acceptor acceptor;
     UpstreamConnections upstreams;
     std::set<Session*> sessions;
     size_t openExchanges { 0 };
-    bool closing { false };
+    bool closeAfterResponse { false };
     bool stopped { false };
 };
 
-// One caller's connection: reads a request, has it answered, and so on.
+// A client's connection, which serves one request after another.
 class Session : public std::enable_shared_from_this<Session> {
 public:
     Session(std::shared_ptr<HttpServer::State>, Tcp::socket);
 
     Net::awaitable<void> run();
 
-    // Closes the connection unless a request is being answered on it.
+    // Closes the connection unless it is reading or serving a request.
     void closeIfIdle();
     void close();
 
 private:
     using RequestParser = Http::request_parser<Http::string_body>;
 
-    Net::awaitable<bool> serveOne();
+    Net::awaitable<bool> serveRequest();
     Net::awaitable<bool> readRequest(RequestParser&);
-    Net::awaitable<bool> answer(RequestParser const&, std::shared_ptr<SessionExchange>);
-    Net::awaitable<bool> writeReply(HttpReply, unsigned version, bool keepAlive, bool isHead);
-    Net::awaitable<void> refuseUnreadable(NetError);
-    void watchCaller(std::shared_ptr<SessionExchange> const&);
+    Net::awaitable<bool> sendResponse(RequestParser const&, std::shared_ptr<SessionExchange>);
+    Net::awaitable<bool> writeResponse(HttpResponse, unsigned version, bool keepAlive, bool isHead);
+    Net::awaitable<void> rejectUnreadableRequest(NetError);
+    void watchForDisconnect(std::shared_ptr<SessionExchange> const&);
 
     std::shared_ptr<HttpServer::State> m_server;
     TcpStream m_stream;
     Beast::flat_buffer m_buffer;
     Net::cancellation_signal m_stopWatching;
-    bool m_busy { false };
+    bool m_isBusy { false };
 };
 
 }
--- a/Libraries/LibProxy/HttpServer.cpp
+++ b/Libraries/LibProxy/HttpServer.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-    // Long enough for a daemon that has run out of descriptors to get some back.
-    constexpr Milliseconds acceptPause { 50 };
+    // After a failed accept or at the connection limit. A process that has run out of file
+    // descriptors needs time to free some.
+    constexpr Milliseconds acceptRetryDelay { 50 };
 
 }
 
@@ -31,33 +32,33 @@
 
 Result<Endpoint> HttpServer::listen(Endpoint const& endpoint)
 {
-    auto const native = nativeEndpoint<Tcp>(endpoint);
+    auto const nativeEndpoint = toNativeEndpoint<Tcp>(endpoint);
     auto& acceptor = m_state->acceptor;
     NetError failure;
-    acceptor.open(native.protocol(), failure);
+    acceptor.open(nativeEndpoint.protocol(), failure);
     if (!failure)
         acceptor.set_option(Net::socket_base::reuse_address(true), failure);
     if (!failure)
-        acceptor.bind(native, failure);
+        acceptor.bind(nativeEndpoint, failure);
     if (!failure)
         acceptor.listen(Net::socket_base::max_listen_connections, failure);
     if (failure)
         return Error(ErrorCode::Unreachable, "cannot listen on " + endpoint.toString() + ": " + failure.message());
     Net::co_spawn(m_state->context, m_state->acceptLoop(), Net::detached);
-    return endpointOf(acceptor.local_endpoint());
+    return toEndpoint(acceptor.local_endpoint());
 }
 
 Net::awaitable<void> HttpServer::State::acceptLoop()
 {
     auto const self = shared_from_this();
-    ClockTimer pause(context);
+    ClockTimer retryTimer(context);
     while (acceptor.is_open()) {
         auto [failure, socket] = co_await acceptor.async_accept(useTuple);
         if (!acceptor.is_open())
             break;
-        if (failure || sessions.size() >= options.mostConnections) {
-            pause.expires_after(acceptPause);
-            co_await pause.async_wait(useTuple);
+        if (failure || sessions.size() >= options.maxConnections) {
+            retryTimer.expires_after(acceptRetryDelay);
+            co_await retryTimer.async_wait(useTuple);
             continue;
         }
         socket.set_option(Tcp::no_delay(true), failure);
@@ -72,9 +73,9 @@
     m_state->options = options;
 }
 
-void HttpServer::setClosing(bool closing)
+void HttpServer::setCloseAfterResponse(bool closeAfterResponse)
 {
-    m_state->closing = closing || m_state->stopped;
+    m_state->closeAfterResponse = closeAfterResponse || m_state->stopped;
 }
 
 void HttpServer::stopListening()
@@ -82,7 +83,7 @@
     NetError ignored;
     m_state->acceptor.close(ignored);
     m_state->stopped = true;
-    m_state->closing = true;
+    m_state->closeAfterResponse = true;
     auto const sessions = m_state->sessions;
     for (auto* session : sessions)
         session->closeIfIdle();
--- a/Libraries/LibProxy/HttpServer.h
+++ b/Libraries/LibProxy/HttpServer.h
@@ -8,43 +8,45 @@
 namespace Stagepost {
 
 struct HttpServerOptions {
-    // The bodies that one request may carry, in bytes.
-    size_t largestBody { 8u << 20 };
-    size_t largestHeaders { 16u << 10 };
-    // For a caller to send its whole request, from the first byte on.
+    // Maximum sizes of a request's body and of its header, in bytes.
+    size_t maxBodySize { 8u << 20 };
+    size_t maxHeaderSize { 16u << 10 };
+    // Time for a client to send a whole request, counted from its first byte.
     Milliseconds requestTimeout { 15000 };
-    // For a connection to stay open between two requests.
+    // Time for which an idle connection stays open.
     Milliseconds keepAliveTimeout { 75000 };
-    size_t mostConnections { 20000 };
+    size_t maxConnections { 20000 };
 };
 
-// Takes callers' requests and hands each to a handler. What the server itself
-// refuses (a request it cannot read) goes to the refusal hook, which makes the reply.
+// Accepts client connections and passes each request to a handler. The refusal hook
+// builds the response to requests that the server rejects itself because it cannot
+// read them.
 class HttpServer {
 public:
-    using RefusalHook = std::function<HttpReply(Refusal const&)>;
+    using RefusalHook = std::function<HttpResponse(Refusal const&)>;
 
     HttpServer(EventLoop&, HttpServerOptions, ExchangeHandler, RefusalHook);
     ~HttpServer();
     HttpServer(HttpServer const&) = delete;
     HttpServer& operator=(HttpServer const&) = delete;
 
-    // Port 0 takes a free one. Returns what was bound.
+    // Port 0 selects a free port. Returns the bound endpoint.
     Result<Endpoint> listen(Endpoint const&);
 
-    // What the next request of every connection is held to.
+    // Applies to the next request of each connection, open connections included.
     void setOptions(HttpServerOptions const&);
 
-    // While set, every answer closes its connection, so that callers move on.
-    void setClosing(bool);
-    // Takes no further connection and closes those that carry no request.
+    // While set, each connection is closed after its response, so that clients reconnect
+    // elsewhere.
+    void setCloseAfterResponse(bool);
+    // Accepts no more connections and closes the idle ones.
     void stopListening();
 
-    // Closes the connections to an upstream that carry no request: what answers at that
-    // address now is another process.
+    // Closes the idle connections to an upstream. Used when another process has taken over
+    // the address.
     void dropIdleConnections(Endpoint const& upstream);
 
-    // Requests that have been read and are not yet answered in full.
+    // The number of requests that have been read and whose responses are incomplete.
     size_t openExchanges() const;
 
     struct State;
--- a/Tests/LibProxy/TestHttpServer.cpp
+++ b/Tests/LibProxy/TestHttpServer.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// A caller's connection, without an event loop of its own.
-class Caller {
+// A client with a blocking socket and no event loop.
+class Client {
 public:
-    explicit Caller(Endpoint const& server)
+    explicit Client(Endpoint const& server)
         : m_socket(::socket(AF_INET, SOCK_STREAM, 0))
     {
         sockaddr_in address {};
@@ -21,14 +21,14 @@
         ::inet_pton(AF_INET, server.address.c_str(), &address.sin_addr);
         BOOST_REQUIRE(::connect(m_socket, reinterpret_cast<sockaddr const*>(&address), sizeof(address)) == 0);
     }
-    ~Caller() { ::close(m_socket); }
-    Caller(Caller const&) = delete;
-    Caller& operator=(Caller const&) = delete;
+    ~Client() { ::close(m_socket); }
+    Client(Client const&) = delete;
+    Client& operator=(Client const&) = delete;
 
     void send(std::string_view bytes) const { BOOST_REQUIRE(::send(m_socket, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size())); }
 
-    // What has arrived.
-    std::string received() const
+    // Returns the received bytes without blocking.
+    std::string receive() const
     {
         std::array<char, 4096> buffer {};
         auto const size = ::recv(m_socket, buffer.data(), buffer.size(), MSG_DONTWAIT);
@@ -43,48 +43,48 @@
 
 BOOST_AUTO_TEST_SUITE(HttpServerTests)
 
-// A request that arrives in the moment of the close is either answered or never
-// handed to the handler: a handler that has passed it on owes an answer.
-BOOST_AUTO_TEST_CASE(ARequestThatCrossesTheCloseIsAnsweredOrNeverTaken)
+// Guards against a race between a request's arrival and stopListening(). The request must either get
+// a response or never reach the handler, which may have forwarded it to an upstream.
+BOOST_AUTO_TEST_CASE(RequestDuringStopGetsAResponseOrIsNotHandled)
 {
-    constexpr Milliseconds settle { 20 };
+    constexpr Milliseconds runTime { 20 };
     for (int round = 0; round < 30; ++round) {
         EventLoop loop;
-        size_t taken = 0;
+        size_t handled = 0;
         HttpServer server(
-            loop, {}, [&taken](std::shared_ptr<Exchange> const& exchange) {
-                ++taken;
-                exchange->respond(textReply(200, "answer")); }, [](Refusal const&) { return textReply(400, ""); });
+            loop, {}, [&handled](std::shared_ptr<Exchange> const& exchange) {
+                ++handled;
+                exchange->respond(makeTextResponse(200, "answer")); }, [](Refusal const&) { return makeTextResponse(400, ""); });
         auto const endpoint = server.listen({ "127.0.0.1", 0 });
-        Caller const caller(*endpoint);
-        loop.runFor(settle);
+        Client const client(*endpoint);
+        loop.runFor(runTime);
         Timer close(loop);
         close.once(Milliseconds(1), [&server] { server.stopListening(); });
-        caller.send("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody");
-        // Both are due when the loop goes on.
+        client.send("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody");
+        // The timer and the request are both due when the loop continues.
         std::this_thread::sleep_for(Milliseconds(2));
-        loop.runFor(settle);
-        BOOST_TEST(taken == (caller.received().ends_with("answer") ? 1u : 0u));
+        loop.runFor(runTime);
+        BOOST_TEST(handled == (client.receive().ends_with("answer") ? 1u : 0u));
     }
 }
 
-BOOST_AUTO_TEST_CASE(AServerThatIsClosingAnswersAndSaysSo)
+BOOST_AUTO_TEST_CASE(AnnouncesThatItClosesAfterTheResponse)
 {
     EventLoop loop;
     HttpServer server(
-        loop, {}, [](std::shared_ptr<Exchange> const& exchange) { exchange->respond(textReply(200, "answer")); }, [](Refusal const&) { return textReply(400, ""); });
+        loop, {}, [](std::shared_ptr<Exchange> const& exchange) { exchange->respond(makeTextResponse(200, "answer")); }, [](Refusal const&) { return makeTextResponse(400, ""); });
     auto const endpoint = server.listen({ "127.0.0.1", 0 });
-    server.setClosing(true);
-    Caller const caller(*endpoint);
-    caller.send("GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
+    server.setCloseAfterResponse(true);
+    Client const client(*endpoint);
+    client.send("GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
     loop.runFor(Milliseconds(50));
-    auto const answer = caller.received();
-    BOOST_TEST(answer.find("Connection: close") != std::string::npos);
-    server.setClosing(false);
-    Caller const next(*endpoint);
+    auto const response = client.receive();
+    BOOST_TEST(response.find("Connection: close") != std::string::npos);
+    server.setCloseAfterResponse(false);
+    Client const next(*endpoint);
     next.send("GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
     loop.runFor(Milliseconds(50));
-    BOOST_TEST(next.received().find("Connection: close") == std::string::npos);
+    BOOST_TEST(next.receive().find("Connection: close") == std::string::npos);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
