--- a/Libraries/LibProxy/Detail/UpstreamConnections.h
+++ b/Libraries/LibProxy/Detail/UpstreamConnections.h
@@ -7,35 +7,36 @@
 
 namespace Stagepost {
 
-// One connection to an upstream with what was read beyond the last answer.
 struct UpstreamConnection {
     explicit UpstreamConnection(Net::io_context& context)
         : stream(context)
     {
     }
     TcpStream stream;
+    // Bytes that were read from the stream and not parsed yet.
     Beast::flat_buffer buffer;
-    Instant restsSince;
-    // How long the upstream has said that it keeps an idle connection open.
+    Instant idleSince;
+    // How long the upstream keeps an idle connection open, by its Keep-Alive field.
     Microseconds keepAlive { Microseconds::max() };
-    // The last request has been written to its end.
-    bool isWritten { true };
+    // Whether the last request has been written completely.
+    bool isRequestWritten { true };
     NetError writeFailure;
 };
 
-// Connections whose last answer was complete and provably the right one.
+// The pool of idle connections to upstreams. It holds only connections whose last response
+// was complete and repeated its request's id.
 class UpstreamConnections {
 public:
-    // A connection is not used in the last fifth of the time that its upstream
-    // keeps it open: the close may be on its way already. Upstreams say whole
-    // seconds, so a fifth is long against any way between halls.
+    // Connections are not reused in the last fifth of the upstream's keep-alive time,
+    // when a close may already be in transit. Upstreams announce whole seconds, so a
+    // fifth far exceeds the latency between halls.
     static constexpr double usableKeepAliveShare = 0.8;
 
-    // A connection that has rested for no longer than that and on which nothing
-    // has arrived since its last answer, or none.
-    std::shared_ptr<UpstreamConnection> take(Endpoint const&, Milliseconds longestRest);
-    // Keeps the connection and at most so many in all that are idle; the oldest go.
-    void give(Endpoint const&, std::shared_ptr<UpstreamConnection>, size_t mostIdle);
+    // Removes and returns a connection that has been idle for at most maxIdleTime and has
+    // no unread data, or returns null.
+    std::shared_ptr<UpstreamConnection> acquire(Endpoint const&, Milliseconds maxIdleTime);
+    // Adds a connection to the pool, which keeps the newest maxIdle of this upstream.
+    void release(Endpoint const&, std::shared_ptr<UpstreamConnection>, size_t maxIdle);
     void clear() { m_idle.clear(); }
     void drop(Endpoint const& endpoint) { m_idle.erase(endpoint); }
 
--- a/Libraries/LibProxy/Detail/UpstreamRequest.cpp
+++ b/Libraries/LibProxy/Detail/UpstreamRequest.cpp
@@ -10,30 +10,30 @@
 
     using Request = Http::request<Http::string_body>;
 
-    Request requestOf(ForwardPlan const& plan, std::string const& requestId)
+    Request buildRequest(ForwardPlan const& plan, std::string const& requestId)
     {
         Request request;
-        request.method_string(plan.call.method);
-        request.target(plan.call.target);
+        request.method_string(plan.request.method);
+        request.target(plan.request.target);
         request.version(11);
-        HttpFields headers = plan.call.headers;
+        HttpFields headers = plan.request.headers;
         headers.removeHopByHop();
         headers.remove("Content-Length");
         headers.remove("Expect");
         for (auto const& field : headers)
             request.insert(field.name, field.value);
-        if (!plan.keepsHost)
+        if (!plan.preserveHost)
             request.set(Http::field::host, plan.upstream.toString());
-        request.set(plan.idField, requestId);
-        request.body() = plan.call.body;
-        if (!plan.call.body.empty() || plan.call.method == "POST" || plan.call.method == "PUT")
-            request.content_length(plan.call.body.size());
+        request.set(plan.requestIdField, requestId);
+        request.body() = plan.request.body;
+        if (!plan.request.body.empty() || plan.request.method == "POST" || plan.request.method == "PUT")
+            request.content_length(plan.request.body.size());
         return request;
     }
 
 }
 
-std::string makeRequestId()
+std::string generateRequestId()
 {
     static uint64_t const process = (uint64_t { std::random_device {}() } << 32) | std::random_device {}();
     static uint64_t counter = 0;
@@ -42,17 +42,17 @@
     return std::string(text.data(), static_cast<size_t>(size));
 }
 
-void startRequest(std::shared_ptr<UpstreamConnection> const& connection, ForwardPlan const& plan, std::string const& requestId)
+void startWritingRequest(std::shared_ptr<UpstreamConnection> const& connection, ForwardPlan const& plan, std::string const& requestId)
 {
-    auto const request = std::make_shared<Request const>(requestOf(plan, requestId));
-    connection->isWritten = false;
+    auto const request = std::make_shared<Request const>(buildRequest(plan, requestId));
+    connection->isRequestWritten = false;
     Http::async_write(connection->stream, *request, [connection, request](NetError failure, size_t) {
-        connection->isWritten = !failure;
+        connection->isRequestWritten = !failure;
         connection->writeFailure = failure;
     });
 }
 
-std::optional<Seconds> keepAliveOf(std::string_view keepAliveField)
+std::optional<Seconds> parseKeepAliveTimeout(std::string_view keepAliveField)
 {
     constexpr std::string_view key = "timeout=";
     auto const at = keepAliveField.find(key);
--- a/Libraries/LibProxy/Detail/UpstreamRequest.h
+++ b/Libraries/LibProxy/Detail/UpstreamRequest.h
@@ -5,16 +5,16 @@
 
 namespace Stagepost {
 
-// An id that no other request of the fleet carries: 64 random bits of this
-// process and a counter.
-std::string makeRequestId();
+// Returns an id that is unique in the fleet: 64 random bits per process and a counter.
+std::string generateRequestId();
 
-// Writes the plan's request on the connection and notes there when it is done.
-// The answer may be read meanwhile: an upstream may answer before it has read
-// the whole of a long body.
-void startRequest(std::shared_ptr<UpstreamConnection> const&, ForwardPlan const&, std::string const& requestId);
+// Starts to write the plan's request and records the completion in the connection.
+// The response can be read meanwhile, because an upstream may respond before it has
+// read all of a long body.
+void startWritingRequest(std::shared_ptr<UpstreamConnection> const&, ForwardPlan const&, std::string const& requestId);
 
-// For how long the upstream says that it keeps the connection open, if it does.
-std::optional<Seconds> keepAliveOf(std::string_view keepAliveField);
+// Parses the timeout parameter of a Keep-Alive field: how long the upstream keeps an idle
+// connection open.
+std::optional<Seconds> parseKeepAliveTimeout(std::string_view keepAliveField);
 
 }
