--- a/Libraries/LibProxy/Detail/Forwarder.cpp
+++ b/Libraries/LibProxy/Detail/Forwarder.cpp
@@ -15,139 +15,139 @@
 
 void Forwarder::fail(RefusalReason reason, std::string const& detail)
 {
-    m_result.failure = m_exchange.isCallerGone() ? RefusalReason::CallerGone : reason;
+    m_result.failure = m_exchange.isClientDisconnected() ? RefusalReason::CallerGone : reason;
     m_result.detail = detail;
 }
 
-void Forwarder::noteSign(UpstreamSign sign)
+void Forwarder::reportActivity(UpstreamActivity activity)
 {
-    if (m_plan.heard)
-        m_plan.heard(sign);
+    if (m_plan.onUpstreamActivity)
+        m_plan.onUpstreamActivity(activity);
 }
 
-void Forwarder::failRead(NetError failure)
+void Forwarder::failUpstreamRead(NetError failure)
 {
-    m_result.reachedLimit = m_watchdog->hasReachedEnd();
+    m_result.deadlineReached = m_watchdog->hasReachedDeadline();
     if (m_watchdog->hasExpired())
-        fail(RefusalReason::UpstreamSlow, "the upstream was silent for too long");
+        fail(RefusalReason::UpstreamSlow, "the upstream timed out");
     else
         fail(RefusalReason::UpstreamBroken, failure.message());
 }
 
-void Forwarder::expired()
+void Forwarder::handleTimeout()
 {
     m_connection->stream.close();
-    if (m_isCallersTurn)
-        m_caller.stream.close();
+    if (m_isWritingToClient)
+        m_client.stream.close();
 }
 
 Net::awaitable<ForwardResult> Forwarder::run()
 {
     m_parser.body_limit(boost::none);
-    if (m_caller.isHead)
+    if (m_client.isHeadRequest)
         m_parser.skip(true);
-    m_caller.stream.expires_never();
-    m_requestId = m_plan.id.empty() ? makeRequestId() : m_plan.id;
-    m_isHeadWritten = m_plan.progress && m_plan.progress->isHeadSent;
-    m_result.answerStarted = m_isHeadWritten;
-    m_isChunked = m_isHeadWritten && m_caller.canChunk;
+    m_client.stream.expires_never();
+    m_requestId = m_plan.requestId.empty() ? generateRequestId() : m_plan.requestId;
+    m_isHeaderWritten = m_plan.progress && m_plan.progress->isHeaderSent;
+    m_result.responseStarted = m_isHeaderWritten;
+    m_isChunked = m_isHeaderWritten && m_client.supportsChunked;
     co_await attempt();
     m_exchange.setUpstream(nullptr);
     m_watchdog.reset();
-    if (m_result.failure && m_result.answerStarted)
-        co_await endWithErrorEvent();
-    giveConnectionBack();
+    if (m_result.failure && m_result.responseStarted)
+        co_await writeErrorEvent();
+    releaseConnection();
     co_return std::move(m_result);
 }
 
-// One await a statement: GCC 12 does not compile several in one condition right.
+// GCC 12 miscompiles conditions with several co_await expressions, so each has its own statement.
 Net::awaitable<void> Forwarder::attempt()
 {
     bool const isConnected = co_await connect();
     if (!isConnected)
         co_return;
-    send();
-    bool const hasHead = co_await readHead();
-    if (!hasHead)
+    sendRequest();
+    bool const hasHeader = co_await readHeader();
+    if (!hasHeader)
         co_return;
-    if (checkHead())
-        co_await relay();
+    if (acceptResponse())
+        co_await relayResponse();
     else
-        co_await skipRejectedBody();
+        co_await drainRejectedBody();
 }
 
-// Only an upstream that names the request in its answer can be trusted not to
-// leave a surplus answer behind for whoever uses the connection next.
-void Forwarder::giveConnectionBack()
+// A connection is reused only if the response repeated the request's id. Other upstreams
+// may leave an extra response on the connection, which the next request would receive.
+void Forwarder::releaseConnection()
 {
-    if (!m_connection || !m_connection->isWritten || !m_parser.is_done() || !m_parser.keep_alive() || m_connection->buffer.size())
+    if (!m_connection || !m_connection->isRequestWritten || !m_parser.is_done() || !m_parser.keep_alive() || m_connection->buffer.size())
         return;
     bool const isWhole = !m_result.failure || m_result.verdict == Verdict::NotRun;
-    if (isWhole && m_parser.get()[m_plan.idField] == m_requestId)
-        m_connections.give(m_plan.upstream, std::move(m_connection), m_plan.mostIdleConnections);
+    if (isWhole && m_parser.get()[m_plan.requestIdField] == m_requestId)
+        m_connections.release(m_plan.upstream, std::move(m_connection), m_plan.maxIdleConnections);
 }
 
 Net::awaitable<bool> Forwarder::connect()
 {
-    if (!m_plan.freshConnection)
-        m_connection = m_connections.take(m_plan.upstream, m_plan.longestRest);
+    if (!m_plan.requireNewConnection)
+        m_connection = m_connections.acquire(m_plan.upstream, m_plan.maxConnectionIdleTime);
     m_result.reusedConnection = m_connection != nullptr;
     if (!m_connection)
         m_connection = std::make_shared<UpstreamConnection>(m_context);
     m_exchange.setUpstream(&m_connection->stream);
-    m_watchdog.emplace(m_context, m_plan.connectTimeout, m_plan.limit, [this] { expired(); });
+    m_watchdog.emplace(m_context, m_plan.connectTimeout, m_plan.deadline, [this] { handleTimeout(); });
     if (m_result.reusedConnection)
         co_return true;
-    auto [failure] = co_await m_connection->stream.async_connect(nativeEndpoint<Tcp>(m_plan.upstream), useTuple);
-    if (failure || m_exchange.isCallerGone() || m_watchdog->hasExpired()) {
-        m_result.reachedLimit = m_watchdog->hasReachedEnd();
+    auto [failure] = co_await m_connection->stream.async_connect(toNativeEndpoint<Tcp>(m_plan.upstream), useTuple);
+    if (failure || m_exchange.isClientDisconnected() || m_watchdog->hasExpired()) {
+        m_result.deadlineReached = m_watchdog->hasReachedDeadline();
         fail(RefusalReason::UpstreamRefused, m_plan.upstream.toString() + ": " + failure.message());
         co_return false;
     }
-    noteSign(UpstreamSign::Connected);
+    reportActivity(UpstreamActivity::Connected);
     m_connection->stream.socket().set_option(Tcp::no_delay(true), failure);
     co_return true;
 }
 
-void Forwarder::send()
+void Forwarder::sendRequest()
 {
     m_result.verdict = Verdict::MayHaveRun;
-    m_watchdog->allow(m_plan.answerTimeout);
-    m_watchdog->extendBy([this] { return !m_isCallersTurn && m_plan.waitsOn && m_plan.waitsOn(); });
-    startRequest(m_connection, m_plan, m_requestId);
+    m_watchdog->restart(m_plan.responseHeaderTimeout);
+    m_watchdog->setExtendCallback([this] { return !m_isWritingToClient && m_plan.shouldKeepWaiting && m_plan.shouldKeepWaiting(); });
+    startWritingRequest(m_connection, m_plan, m_requestId);
 }
 
-Net::awaitable<bool> Forwarder::readHead()
+Net::awaitable<bool> Forwarder::readHeader()
 {
     auto const started = IdleWatchdog::Clock::now();
     auto [failure, read] = co_await Http::async_read_header(m_connection->stream, m_connection->buffer, m_parser, useTuple);
     if (failure) {
-        failRead(failure);
+        failUpstreamRead(failure);
         co_return false;
     }
-    noteSign(UpstreamSign::AnswerBegan);
-    m_result.firstByteAfter = std::chrono::duration_cast<Microseconds>(IdleWatchdog::Clock::now() - started);
+    reportActivity(UpstreamActivity::ResponseStarted);
+    m_result.timeToResponseHeader = std::chrono::duration_cast<Microseconds>(IdleWatchdog::Clock::now() - started);
     co_return true;
 }
 
-// Whether the answer goes to the caller.
-bool Forwarder::checkHead()
+// Returns whether the response is forwarded to the client.
+bool Forwarder::acceptResponse()
 {
-    auto const& head = m_parser.get();
-    bool const mustMatch = m_result.reusedConnection || !m_plan.id.empty();
-    if (mustMatch && head[m_plan.idField] != m_requestId) {
-        fail(RefusalReason::UpstreamMixedAnswer, "the answer does not repeat this request's id");
+    auto const& header = m_parser.get();
+    bool const mustMatch = m_result.reusedConnection || !m_plan.requestId.empty();
+    if (mustMatch && header[m_plan.requestIdField] != m_requestId) {
+        fail(RefusalReason::UpstreamMixedAnswer, "the response does not repeat the request's id");
         return false;
     }
-    if (head.result_int() < 200) {
-        fail(RefusalReason::UpstreamBroken, "an interim answer that was not asked for");
+    if (header.result_int() < 200) {
+        fail(RefusalReason::UpstreamBroken, "unexpected interim response (1xx)");
         return false;
     }
-    m_result.status = head.result_int();
-    m_isEventStream = head[Http::field::content_type].starts_with("text/event-stream");
-    if (auto const keepAlive = keepAliveOf(head["Keep-Alive"]))
+    m_result.status = header.result_int();
+    m_isEventStream = header[Http::field::content_type].starts_with("text/event-stream");
+    if (auto const keepAlive = parseKeepAliveTimeout(header["Keep-Alive"]))
         m_connection->keepAlive = *keepAlive;
-    auto const rejection = m_plan.judge ? m_plan.judge(m_result.status, answerHeaders()) : std::nullopt;
+    auto const rejection = m_plan.responseFilter ? m_plan.responseFilter(m_result.status, upstreamHeaders()) : std::nullopt;
     if (!rejection)
         return true;
     m_result.verdict = rejection->verdict;
@@ -155,26 +155,26 @@
     return false;
 }
 
-Net::awaitable<void> Forwarder::skipRejectedBody()
+Net::awaitable<void> Forwarder::drainRejectedBody()
 {
-    bool const isShort = m_parser.content_length().value_or(mostRejectedBody + 1) <= mostRejectedBody;
+    bool const isShort = m_parser.content_length().value_or(maxDrainedBodySize + 1) <= maxDrainedBodySize;
     if (m_result.verdict != Verdict::NotRun || !isShort)
         co_return;
     std::string_view ignored;
-    bool isGoing = true;
+    bool canContinue = true;
     auto const failure = m_result.failure;
-    while (isGoing && !m_parser.is_done())
-        isGoing = co_await readPart(ignored);
+    while (canContinue && !m_parser.is_done())
+        canContinue = co_await readBodyChunk(ignored);
     m_result.failure = failure;
 }
 
-std::optional<uint64_t> Forwarder::upstreamLength() const
+std::optional<uint64_t> Forwarder::upstreamContentLength() const
 {
     auto const length = m_parser.content_length();
     return length ? std::optional<uint64_t>(*length) : std::nullopt;
 }
 
-HttpFields Forwarder::answerHeaders() const
+HttpFields Forwarder::upstreamHeaders() const
 {
     HttpFields headers;
     for (auto const& field : m_parser.get())
@@ -182,169 +182,171 @@
     return headers;
 }
 
-Net::awaitable<void> Forwarder::relay()
+Net::awaitable<void> Forwarder::relayResponse()
 {
-    if (m_plan.keepBytes) {
-        m_result.kept.status = m_result.status;
-        m_result.kept.headers = answerHeaders();
-        m_result.kept.headers.removeHopByHop();
-        m_result.kept.headers.remove("Content-Length");
+    if (m_plan.maxRecordedBytes) {
+        m_result.recordedResponse.status = m_result.status;
+        m_result.recordedResponse.headers = upstreamHeaders();
+        m_result.recordedResponse.headers.removeHopByHop();
+        m_result.recordedResponse.headers.remove("Content-Length");
     }
     if (m_plan.progress && m_isEventStream)
         m_splitter.emplace(*m_plan.progress);
-    m_watchdog->allow(m_plan.idleTimeout);
-    bool isGoing = true;
-    if (!m_splitter && !m_plan.holdBytes) {
-        auto const length = upstreamLength();
-        isGoing = co_await writeHead(length);
+    m_watchdog->restart(m_plan.idleTimeout);
+    bool canContinue = true;
+    if (!m_splitter && !m_plan.maxBufferedBytes) {
+        auto const length = upstreamContentLength();
+        canContinue = co_await writeHeader(length);
     }
-    while (isGoing && !m_parser.is_done()) {
+    while (canContinue && !m_parser.is_done()) {
         std::string_view bytes;
-        isGoing = co_await readPart(bytes);
-        if (isGoing && !bytes.empty())
-            isGoing = co_await passOn(bytes);
+        canContinue = co_await readBodyChunk(bytes);
+        if (canContinue && !bytes.empty())
+            canContinue = co_await forwardBodyChunk(bytes);
     }
-    if (!isGoing)
+    if (!canContinue)
         co_return;
-    if (m_splitter && m_splitter->isInsideEvent()) {
-        fail(RefusalReason::UpstreamBroken, "the stream ended inside an event");
+    if (m_splitter && m_splitter->hasIncompleteEvent()) {
+        fail(RefusalReason::UpstreamBroken, "the stream ended in the middle of an event");
         co_return;
     }
-    m_result.keptWhole = m_plan.keepBytes && m_result.kept.body.size() <= m_plan.keepBytes;
+    m_result.isRecordingComplete = m_plan.maxRecordedBytes && m_result.recordedResponse.body.size() <= m_plan.maxRecordedBytes;
     m_result.verdict = Verdict::Ran;
-    co_await finishAnswer();
+    co_await finishResponse();
 }
 
-Net::awaitable<bool> Forwarder::readPart(std::string_view& bytes)
+Net::awaitable<bool> Forwarder::readBodyChunk(std::string_view& bytes)
 {
     auto& body = m_parser.get().body();
-    body.data = m_part.data();
-    body.size = m_part.size();
+    body.data = m_bodyChunk.data();
+    body.size = m_bodyChunk.size();
     body.more = true;
     auto [failure, read] = co_await Http::async_read_some(m_connection->stream, m_connection->buffer, m_parser, useTuple);
-    m_watchdog->touch();
+    m_watchdog->recordActivity();
     if (failure && failure != Http::error::need_buffer) {
-        failRead(failure);
+        failUpstreamRead(failure);
         co_return false;
     }
-    noteSign(UpstreamSign::AnswerWentOn);
-    bytes = { m_part.data(), m_part.size() - body.size };
+    reportActivity(UpstreamActivity::ResponseDataReceived);
+    bytes = { m_bodyChunk.data(), m_bodyChunk.size() - body.size };
     co_return true;
 }
 
-Net::awaitable<bool> Forwarder::passOn(std::string_view bytes)
+Net::awaitable<bool> Forwarder::forwardBodyChunk(std::string_view bytes)
 {
-    if (m_plan.keepBytes && m_result.kept.body.size() <= m_plan.keepBytes)
-        m_result.kept.body += bytes;
+    if (m_plan.maxRecordedBytes && m_result.recordedResponse.body.size() <= m_plan.maxRecordedBytes)
+        m_result.recordedResponse.body += bytes;
     std::string events;
     if (m_splitter) {
-        events = m_splitter->take(bytes);
+        events = m_splitter->append(bytes);
         bytes = events;
-    } else if (!m_isHeadWritten && m_held.size() + bytes.size() <= m_plan.holdBytes) {
-        m_held += bytes;
+    } else if (!m_isHeaderWritten && m_bufferedBody.size() + bytes.size() <= m_plan.maxBufferedBytes) {
+        m_bufferedBody += bytes;
         co_return true;
     }
     if (bytes.empty())
         co_return true;
-    if (!m_isHeadWritten) {
-        auto const length = m_splitter ? std::nullopt : upstreamLength();
-        bool const isGoing = co_await writeHead(length);
-        if (!isGoing)
+    if (!m_isHeaderWritten) {
+        auto const length = m_splitter ? std::nullopt : upstreamContentLength();
+        bool const canContinue = co_await writeHeader(length);
+        if (!canContinue)
             co_return false;
     }
-    if (!m_held.empty()) {
-        auto const held = std::exchange(m_held, {});
-        bool const isGoing = co_await writePart(held);
-        if (!isGoing)
+    if (!m_bufferedBody.empty()) {
+        auto const buffered = std::exchange(m_bufferedBody, {});
+        bool const canContinue = co_await writeBodyChunk(buffered);
+        if (!canContinue)
             co_return false;
     }
-    co_return co_await writePart(bytes);
+    co_return co_await writeBodyChunk(bytes);
 }
 
-bool Forwarder::writeFailed(NetError failure)
+// Returns whether the write to the client succeeded.
+bool Forwarder::finishWrite(NetError failure)
 {
-    m_isCallersTurn = false;
-    m_watchdog->touch();
+    m_isWritingToClient = false;
+    m_watchdog->recordActivity();
     if (!failure)
-        return false;
+        return true;
     fail(RefusalReason::SlowCaller, failure.message());
-    return true;
+    return false;
 }
 
-// Without a length the body goes in chunks, or ends with the connection for a
-// caller that does not know chunks.
-Net::awaitable<bool> Forwarder::writeHead(std::optional<uint64_t> length)
+// A body without a length is chunked, or delimited by closing the connection if the client
+// does not support chunked encoding.
+Net::awaitable<bool> Forwarder::writeHeader(std::optional<uint64_t> length)
 {
-    auto headers = answerHeaders();
+    auto headers = upstreamHeaders();
     headers.removeHopByHop();
     headers.remove("Content-Length");
-    for (auto const& field : m_plan.answerHeaders)
+    for (auto const& field : m_plan.extraResponseHeaders)
         headers.set(field.name, field.value);
-    Http::response<Http::empty_body> answer;
-    answer.version(11);
-    answer.result(m_result.status);
+    Http::response<Http::empty_body> response;
+    response.version(11);
+    response.result(m_result.status);
     for (auto const& field : headers)
-        answer.insert(field.name, field.value);
-    bool const hasBody = !m_caller.isHead && mayHaveBody(m_result.status);
-    m_isChunked = hasBody && !length && m_caller.canChunk;
-    m_callerKeptAlive = m_caller.keepAlive && (!hasBody || length || m_isChunked);
-    answer.keep_alive(m_callerKeptAlive);
+        response.insert(field.name, field.value);
+    bool const hasBody = !m_client.isHeadRequest && mayHaveBody(m_result.status);
+    m_isChunked = hasBody && !length && m_client.supportsChunked;
+    m_isClientKeptAlive = m_client.keepAlive && (!hasBody || length || m_isChunked);
+    response.keep_alive(m_isClientKeptAlive);
     if (length)
-        answer.content_length(*length);
+        response.content_length(*length);
     if (m_isChunked)
-        answer.chunked(true);
-    Http::response_serializer<Http::empty_body> serializer(answer);
-    m_isHeadWritten = true;
-    m_result.answerStarted = true;
+        response.chunked(true);
+    Http::response_serializer<Http::empty_body> serializer(response);
+    m_isHeaderWritten = true;
+    m_result.responseStarted = true;
     if (m_plan.progress)
-        m_plan.progress->isHeadSent = true;
-    m_isCallersTurn = true;
-    auto [failure, written] = co_await Http::async_write_header(m_caller.stream, serializer, useTuple);
-    co_return !writeFailed(failure);
+        m_plan.progress->isHeaderSent = true;
+    m_isWritingToClient = true;
+    auto [failure, written] = co_await Http::async_write_header(m_client.stream, serializer, useTuple);
+    co_return finishWrite(failure);
 }
 
-Net::awaitable<bool> Forwarder::writePart(std::string_view part)
+Net::awaitable<bool> Forwarder::writeBodyChunk(std::string_view bytes)
 {
-    auto const buffer = Net::buffer(part.data(), part.size());
-    m_isCallersTurn = true;
+    auto const buffer = Net::buffer(bytes.data(), bytes.size());
+    m_isWritingToClient = true;
     NetError failure;
     if (m_isChunked)
-        std::tie(failure, std::ignore) = co_await Net::async_write(m_caller.stream, Http::make_chunk(buffer), useTuple);
+        std::tie(failure, std::ignore) = co_await Net::async_write(m_client.stream, Http::make_chunk(buffer), useTuple);
     else
-        std::tie(failure, std::ignore) = co_await Net::async_write(m_caller.stream, buffer, useTuple);
-    m_result.answerBytes += part.size();
-    ++m_result.answerParts;
-    co_return !writeFailed(failure);
+        std::tie(failure, std::ignore) = co_await Net::async_write(m_client.stream, buffer, useTuple);
+    m_result.responseBytes += bytes.size();
+    ++m_result.responseWrites;
+    co_return finishWrite(failure);
 }
 
-Net::awaitable<bool> Forwarder::finishAnswer()
+Net::awaitable<bool> Forwarder::finishResponse()
 {
-    // A continued stream was kept open by the forward that began it.
-    if (m_plan.progress && m_plan.progress->isHeadSent && m_isChunked)
-        m_callerKeptAlive = m_caller.keepAlive;
-    if (!m_isHeadWritten) {
+    // The forward that began a continued stream has written its header, which kept the
+    // client's connection alive.
+    if (m_plan.progress && m_plan.progress->isHeaderSent && m_isChunked)
+        m_isClientKeptAlive = m_client.keepAlive;
+    if (!m_isHeaderWritten) {
         std::optional<uint64_t> length;
         if (!m_splitter)
-            length = m_caller.isHead ? upstreamLength() : std::optional<uint64_t>(m_held.size());
-        bool isGoing = co_await writeHead(length);
-        if (isGoing && !m_held.empty())
-            isGoing = co_await writePart(m_held);
-        if (!isGoing)
+            length = m_client.isHeadRequest ? upstreamContentLength() : std::optional<uint64_t>(m_bufferedBody.size());
+        bool canContinue = co_await writeHeader(length);
+        if (canContinue && !m_bufferedBody.empty())
+            canContinue = co_await writeBodyChunk(m_bufferedBody);
+        if (!canContinue)
             co_return false;
     }
     if (!m_isChunked)
         co_return true;
-    m_isCallersTurn = true;
-    auto [failure, written] = co_await Net::async_write(m_caller.stream, Http::make_chunk_last(), useTuple);
-    co_return !writeFailed(failure);
+    m_isWritingToClient = true;
+    auto [failure, written] = co_await Net::async_write(m_client.stream, Http::make_chunk_last(), useTuple);
+    co_return finishWrite(failure);
 }
 
-// An event stream that breaks says so in its last event; the missing last chunk
-// says it to everybody else.
-Net::awaitable<void> Forwarder::endWithErrorEvent()
+// A failed event stream ends with an error event. Clients of other responses detect the
+// failure by the missing last chunk.
+Net::awaitable<void> Forwarder::writeErrorEvent()
 {
-    m_callerKeptAlive = false;
-    if (!m_isEventStream || !m_plan.endsWithErrorEvent || m_exchange.isCallerGone() || m_result.failure == RefusalReason::SlowCaller)
+    m_isClientKeptAlive = false;
+    if (!m_isEventStream || !m_plan.sendErrorEvent || m_exchange.isClientDisconnected() || m_result.failure == RefusalReason::SlowCaller)
         co_return;
     std::string event = "event: error\ndata: {\"error\":{\"reason\":\"";
     event += nameOf(m_result.failure.value_or(RefusalReason::UpstreamBroken));
@@ -353,9 +355,9 @@
     event += "\"}}\n\n";
     auto const buffer = Net::buffer(event.data(), event.size());
     if (m_isChunked)
-        co_await Net::async_write(m_caller.stream, Http::make_chunk(buffer), useTuple);
+        co_await Net::async_write(m_client.stream, Http::make_chunk(buffer), useTuple);
     else
-        co_await Net::async_write(m_caller.stream, buffer, useTuple);
+        co_await Net::async_write(m_client.stream, buffer, useTuple);
 }
 
 }
--- a/Libraries/LibProxy/Detail/Forwarder.h
+++ b/Libraries/LibProxy/Detail/Forwarder.h
@@ -8,79 +8,79 @@
 
 namespace Stagepost {
 
-// Sends one request to an upstream and streams its answer to the caller, part
-// by part: the next part is read only when the caller has taken the last one.
+// Sends one request to an upstream and streams the response to the client. The next chunk
+// is read only after the previous one was written to the client (backpressure).
 class Forwarder {
 public:
-    struct Caller {
+    struct Client {
         TcpStream& stream;
-        bool canChunk;
+        bool supportsChunked;
         bool keepAlive;
-        bool isHead;
+        bool isHeadRequest;
     };
 
-    Forwarder(Net::io_context& context, UpstreamConnections& connections, SessionExchange& exchange, Caller caller, ForwardPlan const& plan)
+    Forwarder(Net::io_context& context, UpstreamConnections& connections, SessionExchange& exchange, Client client, ForwardPlan const& plan)
         : m_context(context)
         , m_connections(connections)
         , m_exchange(exchange)
-        , m_caller(caller)
+        , m_client(client)
         , m_plan(plan)
     {
     }
 
     Net::awaitable<ForwardResult> run();
 
-    // Whether the caller's connection can carry another request.
-    bool callerKeptAlive() const { return m_callerKeptAlive; }
+    // Whether the client's connection can be used for another request.
+    bool isClientKeptAlive() const { return m_isClientKeptAlive; }
 
 private:
-    using AnswerParser = Http::response_parser<Http::buffer_body>;
+    using ResponseParser = Http::response_parser<Http::buffer_body>;
 
-    static constexpr size_t partSize = 16u << 10;
-    // The body of a rejected answer that is still read, to keep its connection.
-    static constexpr uint64_t mostRejectedBody = 64u << 10;
+    static constexpr size_t bodyChunkSize = 16u << 10; // bytes
+    // The body of a rejected response is read up to this size, so that the connection can be reused.
+    static constexpr uint64_t maxDrainedBodySize = 64u << 10; // bytes
 
     Net::awaitable<void> attempt();
     Net::awaitable<bool> connect();
-    void send();
-    Net::awaitable<bool> readHead();
-    bool checkHead();
-    Net::awaitable<void> skipRejectedBody();
-    Net::awaitable<void> relay();
-    Net::awaitable<bool> readPart(std::string_view& bytes);
-    Net::awaitable<bool> passOn(std::string_view bytes);
-    Net::awaitable<bool> writeHead(std::optional<uint64_t> length);
-    Net::awaitable<bool> writePart(std::string_view);
-    Net::awaitable<bool> finishAnswer();
-    Net::awaitable<void> endWithErrorEvent();
-    bool writeFailed(NetError);
-    HttpFields answerHeaders() const;
-    std::optional<uint64_t> upstreamLength() const;
-    void expired();
-    void noteSign(UpstreamSign);
+    void sendRequest();
+    Net::awaitable<bool> readHeader();
+    bool acceptResponse();
+    Net::awaitable<void> drainRejectedBody();
+    Net::awaitable<void> relayResponse();
+    Net::awaitable<bool> readBodyChunk(std::string_view& bytes);
+    Net::awaitable<bool> forwardBodyChunk(std::string_view bytes);
+    Net::awaitable<bool> writeHeader(std::optional<uint64_t> length);
+    Net::awaitable<bool> writeBodyChunk(std::string_view);
+    Net::awaitable<bool> finishResponse();
+    Net::awaitable<void> writeErrorEvent();
+    bool finishWrite(NetError);
+    HttpFields upstreamHeaders() const;
+    std::optional<uint64_t> upstreamContentLength() const;
+    void handleTimeout();
+    void reportActivity(UpstreamActivity);
     void fail(RefusalReason, std::string const& detail);
-    void failRead(NetError);
-    void giveConnectionBack();
+    void failUpstreamRead(NetError);
+    void releaseConnection();
 
     Net::io_context& m_context;
     UpstreamConnections& m_connections;
     SessionExchange& m_exchange;
-    Caller m_caller;
+    Client m_client;
     ForwardPlan const& m_plan;
     ForwardResult m_result;
-    AnswerParser m_parser;
+    ResponseParser m_parser;
     std::shared_ptr<UpstreamConnection> m_connection;
     std::optional<IdleWatchdog> m_watchdog;
     std::optional<EventSplitter> m_splitter;
-    std::array<char, partSize> m_part;
-    // What is held back until the answer is whole.
-    std::string m_held;
+    std::array<char, bodyChunkSize> m_bodyChunk;
+    // The body of a response that is forwarded once it is complete.
+    std::string m_bufferedBody;
     std::string m_requestId;
-    bool m_isHeadWritten { false };
+    bool m_isHeaderWritten { false };
     bool m_isChunked { false };
     bool m_isEventStream { false };
-    bool m_isCallersTurn { false };
-    bool m_callerKeptAlive { false };
+    bool m_isWritingToClient { false };
+    bool m_isClientKeptAlive { false };
 };
 
 }
