--- a/Libraries/LibProxy/Detail/Native.h
+++ b/Libraries/LibProxy/Detail/Native.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Boost.Asio types and helpers. Only the library's own files include this header.
+// Boost.Asio types and helpers, for LibProxy itself, the stand-ins and the measurements. The
+// library's public headers do not include this header.
 
 #include <LibProxy/Endpoint.h>
 #include <LibProxy/EventLoop.h>
