--- a/Libraries/LibPlatform/FetchHook.cpp
+++ b/Libraries/LibPlatform/FetchHook.cpp
@@ -6,7 +6,7 @@
 
 FetchHook makeFetchHook(HttpClient& client)
 {
-    return [&client](Endpoint const& endpoint, HttpCall call, Milliseconds timeout, HttpClient::Callback callback) {
+    return [&client](Endpoint const& endpoint, HttpRequest call, Milliseconds timeout, HttpClient::Callback callback) {
         client.fetch(endpoint, std::move(call), timeout, std::move(callback));
     };
 }
--- a/Libraries/LibPlatform/FetchHook.h
+++ b/Libraries/LibPlatform/FetchHook.h
@@ -11,7 +11,7 @@
 class HttpClient;
 
 // Makes one HTTP call and invokes the callback once. Errors: those of HttpClient::fetch().
-using FetchHook = std::function<void(Endpoint const&, HttpCall, Milliseconds timeout, std::function<void(Result<HttpReply>)>)>;
+using FetchHook = std::function<void(Endpoint const&, HttpRequest, Milliseconds timeout, std::function<void(Result<HttpResponse>)>)>;
 
 // Returns a hook that makes its calls with the client, which must outlive the hook.
 FetchHook makeFetchHook(HttpClient&);
--- a/Libraries/LibPlatform/LogClient.cpp
+++ b/Libraries/LibPlatform/LogClient.cpp
@@ -17,7 +17,7 @@
         return "/v1/streams/" + stream + "/records";
     }
 
-    Result<Offset> parseAppendReply(Result<HttpReply> const& reply)
+    Result<Offset> parseAppendReply(Result<HttpResponse> const& reply)
     {
         if (!reply)
             return reply.error();
@@ -29,7 +29,7 @@
         return Offset(parsed["offset"].get<uint64_t>());
     }
 
-    Result<LogBatch> parseReadReply(Result<HttpReply> const& reply)
+    Result<LogBatch> parseReadReply(Result<HttpResponse> const& reply)
     {
         if (!reply)
             return Error(ErrorCode::PlatformDown, reply.error().message());
@@ -57,8 +57,8 @@
 
 void LogClient::append(std::string const& stream, std::string record, AppendCallback callback) const
 {
-    HttpCall call { "POST", recordsPath(stream), { { "Content-Type", "application/octet-stream" } }, std::move(record) };
-    m_fetch(m_log, std::move(call), callTimeout, [callback = std::move(callback)](Result<HttpReply> const& reply) {
+    HttpRequest call { "POST", recordsPath(stream), { { "Content-Type", "application/octet-stream" } }, std::move(record) };
+    m_fetch(m_log, std::move(call), callTimeout, [callback = std::move(callback)](Result<HttpResponse> const& reply) {
         callback(parseAppendReply(reply));
     });
 }
@@ -66,7 +66,7 @@
 void LogClient::read(std::string const& stream, Offset from, size_t maxRecords, Milliseconds wait, ReadCallback callback) const
 {
     auto target = recordsPath(stream) + "?from=" + std::to_string(from.value()) + "&max=" + std::to_string(maxRecords) + "&wait_ms=" + std::to_string(wait.count());
-    m_fetch(m_log, { "GET", std::move(target), {}, {} }, wait + callTimeout, [callback = std::move(callback)](Result<HttpReply> const& reply) {
+    m_fetch(m_log, { "GET", std::move(target), {}, {} }, wait + callTimeout, [callback = std::move(callback)](Result<HttpResponse> const& reply) {
         callback(parseReadReply(reply));
     });
 }
--- a/Meta/Measure/InForceMeasurement.cpp
+++ b/Meta/Measure/InForceMeasurement.cpp
@@ -53,7 +53,7 @@
         double revisionOf(Endpoint const& daemon)
         {
             double revision = 0;
-            m_client.fetch(daemon, { "GET", "/metrics", {}, {} }, callTimeout, [&](Result<HttpReply> const& reply) {
+            m_client.fetch(daemon, { "GET", "/metrics", {}, {} }, callTimeout, [&](Result<HttpResponse> const& reply) {
                 constexpr std::string_view name = "stagepost_settings_revision ";
                 auto const at = reply ? reply->body.find(name) : std::string::npos;
                 if (at != std::string::npos)
--- a/Meta/Measure/LoadClient.cpp
+++ b/Meta/Measure/LoadClient.cpp
@@ -15,7 +15,7 @@
 
 Net::awaitable<bool> LoadClient::connect()
 {
-    auto [failure] = co_await m_stream.async_connect(nativeEndpoint<Tcp>(m_server), useTuple);
+    auto [failure] = co_await m_stream.async_connect(toNativeEndpoint<Tcp>(m_server), useTuple);
     if (failure)
         co_return false;
     m_stream.socket().set_option(Tcp::no_delay(true));
--- a/Services/stagepostd/Daemon.cpp
+++ b/Services/stagepostd/Daemon.cpp
@@ -158,7 +158,7 @@
     m_once.tick(m_loop.now());
 }
 
-HttpReply Daemon::refuse(Refusal const& refusal)
+HttpResponse Daemon::refuse(Refusal const& refusal)
 {
     m_metrics.countRefusal(refusal);
     return refusalReply(refusal);
@@ -172,13 +172,13 @@
 
 bool Daemon::handleLocally(Exchange& exchange)
 {
-    auto const path = exchange.call().path();
+    auto const path = exchange.request().path();
     if (path == "/healthz") {
-        exchange.respond(textReply(200, "ok\n"));
+        exchange.respond(makeTextResponse(200, "ok\n"));
         return true;
     }
     if (path == "/readyz") {
-        exchange.respond(isReady() ? textReply(200, "ready\n") : textReply(statusUnready, "unready\n"));
+        exchange.respond(isReady() ? makeTextResponse(200, "ready\n") : makeTextResponse(statusUnready, "unready\n"));
         return true;
     }
     if (path == "/metrics") {
@@ -186,21 +186,21 @@
         return true;
     }
     if (path == PeerSettings::path) {
-        exchange.respond(m_peerSettings.answer(exchange.call()));
+        exchange.respond(m_peerSettings.answer(exchange.request()));
         return true;
     }
-    if (path == "/v1/tickets" && exchange.call().method == "POST") {
-        exchange.respond(handleTickets(exchange.call()));
+    if (path == "/v1/tickets" && exchange.request().method == "POST") {
+        exchange.respond(handleTickets(exchange.request()));
         return true;
     }
     if (path == "/rpc") {
-        exchange.respond(handleOperator(exchange.call()));
+        exchange.respond(handleOperator(exchange.request()));
         return true;
     }
     return false;
 }
 
-HttpReply Daemon::renderMetrics()
+HttpResponse Daemon::renderMetrics()
 {
     m_metrics.setGauge("stagepost_open_requests", static_cast<double>(m_server.openExchanges()));
     m_metrics.setGauge("stagepost_open_leases", static_cast<double>(m_node.leaseClient().openLeaseCount()));
@@ -209,16 +209,16 @@
     m_metrics.setGauge("stagepost_control_bytes_sent", static_cast<double>(m_peers.socket().bytesSent()));
     m_metrics.setGauge("stagepost_control_messages_sent", static_cast<double>(m_peers.socket().messagesSent()));
     m_once.renderMetrics(m_metrics);
-    return textReply(200, m_metrics.render());
+    return makeTextResponse(200, m_metrics.render());
 }
 
-HttpReply Daemon::handleOperator(HttpCall const& call)
+HttpResponse Daemon::handleOperator(HttpRequest const& call)
 {
     // Comparing tags instead of tokens takes the same time wherever they differ.
     auto const expected = m_authenticator.computeTag("Bearer " + m_options.operatorToken);
     if (call.method != "POST" || !m_authenticator.verifyTag(call.headers.find("Authorization"), expected))
         return refuse({ RefusalReason::WrongToken, Verdict::NotRun, "the operator's token is wrong or missing", {} });
-    return jsonReply(200, m_operator.handle(call.body));
+    return makeJsonResponse(200, m_operator.handle(call.body));
 }
 
 DaemonStatus Daemon::status() const
@@ -255,10 +255,10 @@
         exchange->respond(refuse({ RefusalReason::NoSettings, Verdict::NotRun, "this daemon has no settings yet", Milliseconds(1000) }));
         return;
     }
-    auto request = readRequest(exchange->call(), *settings, m_loop.now());
+    auto request = readRequest(exchange->request(), *settings, m_loop.now());
     if (auto const* refusal = std::get_if<Refusal>(&request)) {
         logRequest(
-            { { "path", exchange->call().path() }, { "reason", nameOf(refusal->reason) }, { "verdict", nameOf(refusal->verdict) },
+            { { "path", exchange->request().path() }, { "reason", nameOf(refusal->reason) }, { "verdict", nameOf(refusal->verdict) },
                 { "settings", m_settings.revision().value() }, { "detail", refusal->detail } });
         exchange->respond(refuse(*refusal));
         return;
@@ -281,7 +281,7 @@
     std::make_shared<RequestFlow>(services, exchange, std::move(request), std::move(ended))->start();
 }
 
-HttpReply Daemon::handleTickets(HttpCall const& call)
+HttpResponse Daemon::handleTickets(HttpRequest const& call)
 {
     auto const settings = m_settings.settings();
     if (!settings)
@@ -298,7 +298,7 @@
         return;
     setDraining(true);
     m_isStopping = true;
-    m_server.setClosing(true);
+    m_server.setCloseAfterResponse(true);
     auto const limit = m_loop.now() + m_options.drainGrace + m_options.drainLimit;
     m_drain.start(m_options.drainGrace, limit, [this, drained = std::move(drained)] {
         m_node.tick(m_loop.now());
--- a/Services/stagepostd/Daemon.h
+++ b/Services/stagepostd/Daemon.h
@@ -46,12 +46,12 @@
     bool handleLocally(Exchange&);
     void serve(std::shared_ptr<Exchange> const&);
     void run(std::shared_ptr<Exchange> const&, CallerRequest, RequestFlow::Ended);
-    HttpReply handleTickets(HttpCall const&);
-    HttpReply handleOperator(HttpCall const&);
-    HttpReply renderMetrics();
+    HttpResponse handleTickets(HttpRequest const&);
+    HttpResponse handleOperator(HttpRequest const&);
+    HttpResponse renderMetrics();
     DaemonStatus status() const;
     void setDraining(bool);
-    HttpReply refuse(Refusal const&);
+    HttpResponse refuse(Refusal const&);
     void settingsApplied();
     void listChanged(std::vector<VMEntry> const&);
     void updateView();
--- a/Services/stagepostd/Gateway.cpp
+++ b/Services/stagepostd/Gateway.cpp
@@ -21,8 +21,8 @@
     HttpServerOptions serverOptions(CallerLimits const& limits)
     {
         HttpServerOptions options;
-        options.largestBody = limits.bodyBytes;
-        options.largestHeaders = limits.headerBytes;
+        options.maxBodySize = limits.bodyBytes;
+        options.maxHeaderSize = limits.headerBytes;
         options.requestTimeout = limits.headerTimeout;
         options.keepAliveTimeout = limits.idleTimeout;
         return options;
@@ -145,7 +145,7 @@
     m_readyEndpoint = TRY(m_readyServer.listen(m_options.readyListen));
     m_peerEndpoint = TRY(m_peers.listen(m_options.peerListen));
     logEvent(LogLevel::Info, "started", { { "name", m_options.name }, { "hall", m_options.hall }, { "listen", m_callerEndpoint.toString() }, { "ready_listen", m_readyEndpoint.toString() }, { "peer_listen", m_peerEndpoint.toString() } });
-    m_server.setClosing(true);
+    m_server.setCloseAfterResponse(true);
     m_stallDetector.start(m_loop.now());
     m_ticker.every(tickInterval, [this] { tick(); });
     return {};
@@ -447,12 +447,12 @@
     if (isReadyNow == m_wasReady)
         return;
     m_wasReady = isReadyNow;
-    m_server.setClosing(!isReadyNow);
+    m_server.setCloseAfterResponse(!isReadyNow);
     logEvent(isReadyNow ? LogLevel::Info : LogLevel::Warning, isReadyNow ? "ready" : "unready",
         { { "draining", m_isDraining ? 1 : 0 }, { "has_settings", m_table ? 1 : 0 }, { "has_upstreams", m_directory.hasList() ? 1 : 0 }, { "settings_age_ms", settingsAge().count() / 1000 } });
 }
 
-HttpReply Gateway::refuse(Refusal const& refusal)
+HttpResponse Gateway::refuse(Refusal const& refusal)
 {
     m_metrics.countRefusal(refusal);
     return gatewayReply(refusal);
@@ -471,7 +471,7 @@
     }
 }
 
-HttpReply Gateway::renderMetrics()
+HttpResponse Gateway::renderMetrics()
 {
     setServiceGauges();
     m_metrics.setGauge("stagepost_open_requests", static_cast<double>(m_server.openExchanges()));
@@ -485,18 +485,18 @@
     m_metrics.setGauge("stagepost_settings_age_seconds", m_tableAge.isKnown() ? asSeconds(settingsAge()) : -1);
     m_metrics.setGauge("stagepost_emptied_halls_age_seconds", m_emptiedHalls.age().isKnown() ? asSeconds(*m_emptiedHalls.age().age(m_loop.now())) : -1);
     m_metrics.setGauge("stagepost_ready", isReady() ? 1 : 0);
-    return textReply(200, m_metrics.render());
+    return makeTextResponse(200, m_metrics.render());
 }
 
 void Gateway::handleReady(Exchange& exchange)
 {
-    auto const path = exchange.call().path();
+    auto const path = exchange.request().path();
     if (path == "/readyz")
-        exchange.respond(isReady() ? textReply(200, "ready\n") : textReply(statusUnready, "unready\n"));
+        exchange.respond(isReady() ? makeTextResponse(200, "ready\n") : makeTextResponse(statusUnready, "unready\n"));
     else if (path == "/metrics")
         exchange.respond(renderMetrics());
     else
-        exchange.respond(textReply(404, "only /readyz and /metrics are here\n"));
+        exchange.respond(makeTextResponse(404, "only /readyz and /metrics are here\n"));
 }
 
 void Gateway::handle(std::shared_ptr<Exchange> const& exchange)
@@ -504,10 +504,10 @@
     // State can also become too old between two ticks.
     handleStall(m_stallDetector.check(m_loop.now(), m_server.openExchanges()));
     updateReadiness();
-    auto routed = route(exchange->call());
+    auto routed = route(exchange->request());
     if (auto const* refusal = std::get_if<Refusal>(&routed)) {
         logRequest(
-            { { "id", m_dialect.readCall(exchange->call()).id }, { "outcome", "refused" }, { "reason", nameOf(refusal->reason) },
+            { { "id", m_dialect.readCall(exchange->request()).id }, { "outcome", "refused" }, { "reason", nameOf(refusal->reason) },
                 { "settings", settingsVersion() }, { "settings_age_ms", settingsAge().count() / 1000 } });
         exchange->respond(refuse(*refusal));
         return;
@@ -515,7 +515,7 @@
     std::make_shared<GatewayRequestHandler>(m_services, exchange, std::move(std::get<RoutedRequest>(routed)))->start();
 }
 
-std::variant<RoutedRequest, Refusal> Gateway::route(HttpCall const& call) const
+std::variant<RoutedRequest, Refusal> Gateway::route(HttpRequest const& call) const
 {
     if (!m_table)
         return Refusal { RefusalReason::NoSettings, Verdict::NotRun, "this daemon has no configuration yet", platformRetryDelay };
--- a/Services/stagepostd/Gateway.h
+++ b/Services/stagepostd/Gateway.h
@@ -87,11 +87,11 @@
     void mergeEmptiedHalls(EmptiedHallsState const&, std::optional<Instant> provenAt);
     void handle(std::shared_ptr<Exchange> const&);
     void handleReady(Exchange&);
-    std::variant<RoutedRequest, Refusal> route(HttpCall const&) const;
+    std::variant<RoutedRequest, Refusal> route(HttpRequest const&) const;
     std::optional<Refusal> authorise(RoutedRequest&) const;
     std::string serviceOf(Route const&, PromptChain const&) const;
-    HttpReply refuse(Refusal const&);
-    HttpReply renderMetrics();
+    HttpResponse refuse(Refusal const&);
+    HttpResponse renderMetrics();
     void setServiceGauges();
     bool areKeysFresh() const;
     bool isSettingsOverdue() const;
--- a/Services/stagepostd/GatewayDialect.h
+++ b/Services/stagepostd/GatewayDialect.h
@@ -59,8 +59,8 @@
     std::function<SettingsSteps(SettingsText const&)> readSettings;
     // The header field that carries the request's id; answers repeat it.
     std::string idField;
-    std::function<GatewayCall(HttpCall const&)> readCall;
-    std::function<HttpCall(HttpCall const&, GatewaySend const&)> writeCall;
+    std::function<GatewayCall(HttpRequest const&)> readCall;
+    std::function<HttpRequest(HttpRequest const&, GatewaySend const&)> writeCall;
     std::function<GatewayAnswerHead(unsigned status, HttpFields const&)> readAnswerHead;
 };
 
--- a/Services/stagepostd/GatewayPeers.cpp
+++ b/Services/stagepostd/GatewayPeers.cpp
@@ -37,9 +37,9 @@
         return known;
     }
 
-    HttpReply plainRefusal(Refusal const& refusal)
+    HttpResponse plainRefusal(Refusal const& refusal)
     {
-        return textReply(httpStatusOf(refusal.reason), refusal.detail + '\n');
+        return makeTextResponse(httpStatusOf(refusal.reason), refusal.detail + '\n');
     }
 
 }
@@ -53,7 +53,7 @@
     , m_hooks(std::move(hooks))
     , m_client(loop)
     , m_server(
-          loop, {}, [this](std::shared_ptr<Exchange> const& exchange) { exchange->respond(answerState(exchange->call())); }, plainRefusal)
+          loop, {}, [this](std::shared_ptr<Exchange> const& exchange) { exchange->respond(answerState(exchange->request())); }, plainRefusal)
     , m_ticker(loop)
     , m_answersTimer(loop)
 {
@@ -256,14 +256,14 @@
     if (m_isFetching || !endpoint)
         return;
     m_isFetching = true;
-    HttpCall call { "GET", statePath, { { peerHeader, bytesToHex(m_stateAuthenticator->signMessage(formatStateRequest(m_hooks.beliefs.summary()))) } }, {} };
-    m_client.fetch(*endpoint, std::move(call), fetchTimeout, [this, from, provenAt](Result<HttpReply> const& reply) {
+    HttpRequest call { "GET", statePath, { { peerHeader, bytesToHex(m_stateAuthenticator->signMessage(formatStateRequest(m_hooks.beliefs.summary()))) } }, {} };
+    m_client.fetch(*endpoint, std::move(call), fetchTimeout, [this, from, provenAt](Result<HttpResponse> const& reply) {
         m_isFetching = false;
         handleFetchedState(from, reply, provenAt);
     });
 }
 
-void GatewayPeers::handleFetchedState(VMId from, Result<HttpReply> const& reply, std::optional<Instant> provenAt)
+void GatewayPeers::handleFetchedState(VMId from, Result<HttpResponse> const& reply, std::optional<Instant> provenAt)
 {
     auto const refuse = [&](std::string const& reason) {
         m_metrics.count("stagepost_peer_states_total", "outcome=\"refused\"");
@@ -283,13 +283,13 @@
     m_hooks.mergeState(*state, provenAt);
 }
 
-HttpReply GatewayPeers::answerState(HttpCall const& call)
+HttpResponse GatewayPeers::answerState(HttpRequest const& call)
 {
     if (!m_stateAuthenticator || call.path() != statePath)
-        return textReply(statusForbidden, "for daemons of this fleet only\n");
+        return makeTextResponse(statusForbidden, "for daemons of this fleet only\n");
     auto const opened = m_stateAuthenticator->verifyMessage(hexToBytes(call.headers.find(peerHeader)));
     if (!opened || !opened->body.starts_with(stateRequestPrefix))
-        return textReply(statusForbidden, "for daemons of this fleet only\n");
+        return makeTextResponse(statusForbidden, "for daemons of this fleet only\n");
     auto const known = parseStateRequest(std::string_view(opened->body).substr(stateRequestPrefix.size()));
     return { 200, { { "Content-Type", "application/octet-stream" } }, m_stateAuthenticator->signMessage(m_hooks.state(known).encode()) };
 }
--- a/Services/stagepostd/GatewayPeers.h
+++ b/Services/stagepostd/GatewayPeers.h
@@ -102,8 +102,8 @@
     Endpoint const* endpointOf(VMId) const;
     void send(VMId to, PeerMessageKind, std::string const& body);
     void fetch(VMId from, std::optional<Instant> provenAt);
-    void handleFetchedState(VMId from, Result<HttpReply> const&, std::optional<Instant> provenAt);
-    HttpReply answerState(HttpCall const&);
+    void handleFetchedState(VMId from, Result<HttpResponse> const&, std::optional<Instant> provenAt);
+    HttpResponse answerState(HttpRequest const&);
 
     EventLoop& m_loop;
     Metrics& m_metrics;
--- a/Services/stagepostd/GatewayReply.cpp
+++ b/Services/stagepostd/GatewayReply.cpp
@@ -29,7 +29,7 @@
     return status == statusUnavailable ? statusBadGateway : status;
 }
 
-HttpReply gatewayReply(Refusal const& refusal)
+HttpResponse gatewayReply(Refusal const& refusal)
 {
     auto reply = refusalReply(refusal);
     reply.status = gatewayStatusOf(refusal);
--- a/Services/stagepostd/GatewayReply.h
+++ b/Services/stagepostd/GatewayReply.h
@@ -11,6 +11,6 @@
 
 // The answer for a refusal, with its reason and verdict. For a request that has not run, Retry-After
 // is given in seconds with three decimals.
-HttpReply gatewayReply(Refusal const&);
+HttpResponse gatewayReply(Refusal const&);
 
 }
--- a/Services/stagepostd/GatewayRequestHandler.cpp
+++ b/Services/stagepostd/GatewayRequestHandler.cpp
@@ -191,7 +191,7 @@
 // Waiting for other daemons takes some milliseconds, in which the conditions for sending may change.
 bool GatewayRequestHandler::endedWhileWaiting()
 {
-    if (m_exchange->isCallerGone()) {
+    if (m_exchange->isClientDisconnected()) {
         releaseInFlight();
         m_services.metrics.countRefusal({ RefusalReason::CallerGone, m_attempts.verdict(), "the caller left before its request was sent", {} });
         log("caller-gone", {}, nameOf(RefusalReason::CallerGone), m_attempts.verdict());
@@ -262,7 +262,7 @@
     send.organisation = m_request.organisation;
     send.priority = m_request.priority;
     send.timeLeft = m_attempts.timeLeft(now);
-    send.lastEvent = m_progress && m_progress->lastId ? m_progress->lastId : m_request.call.lastEvent;
+    send.lastEvent = m_progress && m_progress->lastForwardedId ? m_progress->lastForwardedId : m_request.call.lastEvent;
     auto const* source = choice.contextSource ? m_services.serviceTable.target(*choice.contextSource) : nullptr;
     if (service && service->movesContexts && source)
         send.contextSource = source->endpoint.toString();
@@ -276,19 +276,19 @@
     auto const* service = m_request.table->service(m_request.service);
     ForwardPlan plan;
     plan.upstream = target.endpoint;
-    plan.call = m_services.dialect.writeCall(m_exchange->call(), buildSend(choice, target, service, now));
-    plan.idField = m_services.dialect.idField;
-    plan.id = m_request.call.id;
-    plan.keepsHost = true;
+    plan.request = m_services.dialect.writeCall(m_exchange->request(), buildSend(choice, target, service, now));
+    plan.requestIdField = m_services.dialect.idField;
+    plan.requestId = m_request.call.id;
+    plan.preserveHost = true;
     plan.connectTimeout = patience.connect;
-    plan.answerTimeout = patience.firstByte;
+    plan.responseHeaderTimeout = patience.firstByte;
     plan.idleTimeout = patience.betweenParts;
-    plan.freshConnection = m_attempts.needsFreshConnection(choice);
-    plan.mostIdleConnections = std::min(plan.mostIdleConnections, idleConnectionLimit(service));
-    plan.holdBytes = maxHeldAnswerBytes;
+    plan.requireNewConnection = m_attempts.needsFreshConnection(choice);
+    plan.maxIdleConnections = std::min(plan.maxIdleConnections, idleConnectionLimit(service));
+    plan.maxBufferedBytes = maxHeldAnswerBytes;
     plan.progress = m_progress;
-    plan.endsWithErrorEvent = false;
-    plan.limit = m_attempts.deadline();
+    plan.sendErrorEvent = false;
+    plan.deadline = m_attempts.deadline();
     return plan;
 }
 
@@ -298,16 +298,16 @@
     auto const now = m_services.loop.now();
     m_attempts.recordSend();
     auto plan = buildForwardPlan(choice, target, now);
-    plan.judge = [weak = weak_from_this(), upstream](unsigned status, HttpFields const& headers) -> std::optional<HeadRejection> {
+    plan.responseFilter = [weak = weak_from_this(), upstream](unsigned status, HttpFields const& headers) -> std::optional<ResponseRejection> {
         auto const handler = weak.lock();
         return handler ? handler->checkAnswerHead(upstream, status, headers) : std::nullopt;
     };
-    plan.heard = [weak = weak_from_this(), upstream](UpstreamSign sign) {
+    plan.onUpstreamActivity = [weak = weak_from_this(), upstream](UpstreamActivity sign) {
         if (auto const handler = weak.lock())
             handler->recordSign(upstream, sign);
     };
     // Waits on if a retry is no longer possible, for example because its budget is used up.
-    plan.waitsOn = [weak = weak_from_this()] {
+    plan.shouldKeepWaiting = [weak = weak_from_this()] {
         auto const handler = weak.lock();
         return handler && !handler->couldSendAgain();
     };
@@ -323,25 +323,25 @@
     });
 }
 
-void GatewayRequestHandler::recordSign(UpstreamId upstream, UpstreamSign sign)
+void GatewayRequestHandler::recordSign(UpstreamId upstream, UpstreamActivity sign)
 {
     auto const now = m_services.loop.now();
     auto& silence = m_services.serviceTable.silence();
     switch (sign) {
-    case UpstreamSign::Connected:
+    case UpstreamActivity::Connected:
         silence.connected(upstream, now);
         break;
-    case UpstreamSign::AnswerBegan:
+    case UpstreamActivity::ResponseStarted:
         silence.answerStarted(upstream, now - m_lastSignAt, now);
         break;
-    case UpstreamSign::AnswerWentOn:
+    case UpstreamActivity::ResponseDataReceived:
         silence.answerContinued(upstream, now - m_lastSignAt, now);
         break;
     }
     m_lastSignAt = now;
 }
 
-std::optional<HeadRejection> GatewayRequestHandler::checkAnswerHead(UpstreamId upstream, unsigned status, HttpFields const& headers)
+std::optional<ResponseRejection> GatewayRequestHandler::checkAnswerHead(UpstreamId upstream, unsigned status, HttpFields const& headers)
 {
     auto const now = m_services.loop.now();
     auto const head = m_services.dialect.readAnswerHead(status, headers);
@@ -354,15 +354,15 @@
     if (head.isLeaving)
         m_services.serviceTable.markLeaving(upstream, now);
     if (head.isNotRun)
-        return HeadRejection { RefusalReason::OverCapacity, Verdict::NotRun, "the upstream has not run the request" };
+        return ResponseRejection { RefusalReason::OverCapacity, Verdict::NotRun, "the upstream has not run the request" };
     if (status >= 200 && status < 300 && !head.isSigned)
-        return HeadRejection { RefusalReason::UpstreamMixedAnswer, Verdict::MayHaveRun, "a success without the upstream's signature" };
+        return ResponseRejection { RefusalReason::UpstreamMixedAnswer, Verdict::MayHaveRun, "a success without the upstream's signature" };
     if (promisesNotRun(status) && !m_request.route->isRepeatable())
-        return HeadRejection { RefusalReason::UpstreamBroken, Verdict::MayHaveRun, "the upstream's status promises what it does not say" };
-    if (m_progress && m_progress->isHeadSent && status != 200)
-        return HeadRejection { RefusalReason::UpstreamBroken, Verdict::MayHaveRun, "the stream could not be taken up" };
+        return ResponseRejection { RefusalReason::UpstreamBroken, Verdict::MayHaveRun, "the upstream's status promises what it does not say" };
+    if (m_progress && m_progress->isHeaderSent && status != 200)
+        return ResponseRejection { RefusalReason::UpstreamBroken, Verdict::MayHaveRun, "the stream could not be taken up" };
     if (status >= firstServerError && couldSendAgain())
-        return HeadRejection { RefusalReason::UpstreamBroken, Verdict::Ran, "the upstream answered " + std::to_string(status) };
+        return ResponseRejection { RefusalReason::UpstreamBroken, Verdict::Ran, "the upstream answered " + std::to_string(status) };
     return {};
 }
 
@@ -402,7 +402,7 @@
         m_services.serviceTable.silence().connectFailed(upstream);
     // The time to the first byte measures the upstream. The total time of a stream measures only the
     // length of the answer.
-    m_service.placement.finished(upstream, outcome, result.firstByteAfter, now - m_sentAt, now);
+    m_service.placement.finished(upstream, outcome, result.timeToResponseHeader, now - m_sentAt, now);
     releaseInFlight();
     m_services.serviceTable.silence().ended(upstream, now);
 }
@@ -418,7 +418,7 @@
 {
     recordOutcome(upstream, result);
     if (!result.failure) {
-        m_service.placement.recordFirstByteWait(m_request.call.prompt.tokens(), result.firstByteAfter);
+        m_service.placement.recordFirstByteWait(m_request.call.prompt.tokens(), result.timeToResponseHeader);
         m_attempts.recordResponse();
         if (m_services.crashDetector.hasSuspects() && result.status < firstServerError)
             m_services.crashDetector.requestAnswered(fingerprint());
@@ -432,7 +432,7 @@
     attempt.verdict = result.verdict;
     attempt.isUnconnected = isUnconnected(result);
     attempt.isRejected = result.verdict == Verdict::NotRun && result.failure == RefusalReason::OverCapacity;
-    attempt.deadlinePassed = result.reachedLimit;
+    attempt.deadlinePassed = result.deadlineReached;
     attempt.isCallerLost = isCallerLost(result);
     if (m_attempts.recordFailure(upstream, attempt, m_services.loop.now())) {
         log("sent-again", result, nameOf(*result.failure), m_attempts.verdict());
@@ -447,13 +447,13 @@
 void GatewayRequestHandler::failRequest(ForwardResult const& result)
 {
     bool const isCallerGone = isCallerLost(result);
-    if (!isCallerGone && !result.answerStarted) {
+    if (!isCallerGone && !result.responseStarted) {
         refuse({ *result.failure, m_attempts.verdict(), result.detail, m_attempts.retryAfter() });
         return;
     }
     m_services.metrics.countRefusal({ *result.failure, m_attempts.verdict(), result.detail, {} });
     log(isCallerGone ? "caller-gone" : "cut", result, nameOf(*result.failure), m_attempts.verdict());
-    m_exchange->abandon();
+    m_exchange->abort();
 }
 
 void GatewayRequestHandler::refuse(Refusal const& refusal)
@@ -462,9 +462,9 @@
     ForwardResult none;
     none.detail = refusal.detail;
     none.status = gatewayStatusOf(refusal);
-    if (m_progress && m_progress->isHeadSent) {
+    if (m_progress && m_progress->isHeaderSent) {
         log("cut", none, nameOf(refusal.reason), refusal.verdict);
-        m_exchange->abandon();
+        m_exchange->abort();
         return;
     }
     log("refused", none, nameOf(refusal.reason), refusal.verdict);
@@ -473,7 +473,7 @@
 
 RequestFingerprint GatewayRequestHandler::fingerprint() const
 {
-    auto const& call = m_exchange->call();
+    auto const& call = m_exchange->request();
     if (!m_fingerprint)
         m_fingerprint = m_services.fingerprintOf({ m_request.organisation, call.method, call.headers.find("Host"), call.target, call.body });
     return *m_fingerprint;
@@ -488,9 +488,9 @@
             { "organisation", m_request.organisation }, { "context", toHex(m_request.call.prompt.sharedKey().value_or(0)) },
             { "upstream", m_instance }, { "context_source", m_contextSource }, { "placed_by", nameOf(m_placement.rule) }, { "counts_age_ms", m_placement.countsAge.count() / 1000 }, { "hold_ms", m_placement.hold.count() / 1000 }, { "owners_asked", m_placement.asks }, { "owner_counted", m_placement.counted }, { "owner_limit", m_placement.limit }, { "rest_left_ms", m_restLeft.count() / 1000 }, { "sends", m_attempts.sends() },
             { "rejections", m_attempts.rejections() }, { "unconnected", m_attempts.connectFailures() }, { "reused_connection", result.reusedConnection ? 1 : 0 },
-            { "events", m_progress ? m_progress->events : 0 }, { "bytes", result.answerBytes },
+            { "events", m_progress ? m_progress->eventCount : 0 }, { "bytes", result.responseBytes },
             { "settings", m_request.table->version() }, { "settings_age_ms", m_services.settingsAge().count() / 1000 },
-            { "first_byte_us", result.firstByteAfter.count() }, { "took_us", (now - m_request.receivedAt).count() }, { "detail", result.detail } });
+            { "first_byte_us", result.timeToResponseHeader.count() }, { "took_us", (now - m_request.receivedAt).count() }, { "detail", result.detail } });
 }
 
 }
--- a/Services/stagepostd/GatewayRequestHandler.h
+++ b/Services/stagepostd/GatewayRequestHandler.h
@@ -79,8 +79,8 @@
     GatewaySend buildSend(ServicePlacement::Choice const&, ServiceTable::Target const&, Service const*, Instant now);
     ForwardPlan buildForwardPlan(ServicePlacement::Choice const&, ServiceTable::Target const&, Instant now);
     void forward(ServicePlacement::Choice const&, ServiceTable::Target const&);
-    void recordSign(UpstreamId, UpstreamSign);
-    std::optional<HeadRejection> checkAnswerHead(UpstreamId, unsigned status, HttpFields const&);
+    void recordSign(UpstreamId, UpstreamActivity);
+    std::optional<ResponseRejection> checkAnswerHead(UpstreamId, unsigned status, HttpFields const&);
     // The upstream asks to get no requests for this long.
     void handleRestRequest(UpstreamId, Milliseconds);
     size_t sizeForRetry(Instant now) const;
--- a/Services/stagepostd/OnceGateway.cpp
+++ b/Services/stagepostd/OnceGateway.cpp
@@ -17,7 +17,7 @@
     constexpr double claimShare = 0.8;
     constexpr Milliseconds answerTimeout { 120000 };
 
-    uint64_t fingerprintOf(HttpCall const& call)
+    uint64_t fingerprintOf(HttpRequest const& call)
     {
         return mixHashes(mixHashes(hashOf(call.method), hashOf(call.target)), hashOf(call.body));
     }
@@ -35,15 +35,15 @@
     {
         RecordedResponse answer;
         answer.status = result.status;
-        answer.isComplete = result.keptWhole;
-        if (result.keptWhole) {
-            answer.contentType = result.kept.headers.find("Content-Type");
-            answer.body = result.kept.body;
+        answer.isComplete = result.isRecordingComplete;
+        if (result.isRecordingComplete) {
+            answer.contentType = result.recordedResponse.headers.find("Content-Type");
+            answer.body = result.recordedResponse.body;
         }
         return answer;
     }
 
-    std::string wordFor(HttpCall const& call)
+    std::string wordFor(HttpRequest const& call)
     {
         return "passed-on" + toHex(fingerprintOf(call));
     }
@@ -102,9 +102,9 @@
     metrics.setGauge("stagepost_log_appends", static_cast<double>(m_claims.appends()));
 }
 
-HttpReply OnceGateway::issueTickets(HttpCall const& call, OrganisationId organisation)
+HttpResponse OnceGateway::issueTickets(HttpRequest const& call, OrganisationId organisation)
 {
-    auto const text = call.query("count");
+    auto const text = call.queryParameter("count");
     uint64_t count = 1;
     if (!text.empty()) {
         auto const [end, code] = std::from_chars(text.data(), text.data() + text.size(), count);
@@ -114,7 +114,7 @@
     auto const tickets = m_tickets.issue(organisation, count);
     if (tickets.empty())
         return m_dependencies.refuse({ RefusalReason::OnceMemoryFull, Verdict::NotRun, "as many tickets are running as can be remembered", Milliseconds(1000) });
-    return jsonReply(200, nlohmann::json { { "tickets", tickets } }.dump() + '\n');
+    return makeJsonResponse(200, nlohmann::json { { "tickets", tickets } }.dump() + '\n');
 }
 
 void OnceGateway::refuse(Exchange& exchange, Refusal const& refusal)
@@ -125,7 +125,7 @@
 void OnceGateway::replay(Exchange& exchange, RecordedResponse const& answer)
 {
     m_dependencies.metrics.count("stagepost_replays_total");
-    HttpReply reply { answer.status, {}, answer.body };
+    HttpResponse reply { answer.status, {}, answer.body };
     if (!answer.contentType.empty())
         reply.headers.add("Content-Type", answer.contentType);
     reply.headers.add("Stagepost-Verdict", nameOf(Verdict::Ran));
@@ -134,7 +134,7 @@
 }
 
 // A request is passed on once at the most: whoever gets it decides.
-bool OnceGateway::wasPassedOn(HttpCall const& call) const
+bool OnceGateway::wasPassedOn(HttpRequest const& call) const
 {
     return m_authenticator.verifyTag(wordFor(call), hexToBytes(call.headers.find(passedOnField)));
 }
@@ -149,13 +149,13 @@
 {
     ForwardPlan plan;
     plan.upstream = holder;
-    plan.call = exchange->call();
-    plan.call.headers.set(passedOnField, bytesToHex(m_authenticator.computeTag(wordFor(exchange->call()))));
-    plan.answerTimeout = answerTimeout;
-    plan.freshConnection = true;
+    plan.request = exchange->request();
+    plan.request.headers.set(passedOnField, bytesToHex(m_authenticator.computeTag(wordFor(exchange->request()))));
+    plan.responseHeaderTimeout = answerTimeout;
+    plan.requireNewConnection = true;
     m_dependencies.metrics.count("stagepost_passed_on_total");
     exchange->forward(std::move(plan), [this, exchange, alive = std::weak_ptr(m_alive), unreachable = std::move(unreachable)](ForwardResult const& result) {
-        if (alive.expired() || !result.failure || result.answerStarted || exchange->isCallerGone())
+        if (alive.expired() || !result.failure || result.responseStarted || exchange->isClientDisconnected())
             return;
         if (result.verdict == Verdict::NotRun)
             unreachable();
@@ -178,14 +178,14 @@
 void OnceGateway::serveTicket(std::shared_ptr<Exchange> const& exchange, CallerRequest const& request)
 {
     Refusal const gone { RefusalReason::TicketHolderGone, Verdict::MayHaveRun, "the daemon that handed the ticket out cannot be reached", {} };
-    auto const decision = m_tickets.redeem(request.ticket, request.organisation.id, fingerprintOf(exchange->call()));
+    auto const decision = m_tickets.redeem(request.ticket, request.organisation.id, fingerprintOf(exchange->request()));
     if (auto const* refusal = std::get_if<Refusal>(&decision)) {
         refuse(*exchange, *refusal);
     } else if (auto const* known = std::get_if<TicketRegistry::Replay>(&decision)) {
         replay(*exchange, known->response);
     } else if (auto const* elsewhere = std::get_if<TicketRegistry::HeldElsewhere>(&decision)) {
         auto const* holder = entryOf(elsewhere->holder);
-        if (!holder || wasPassedOn(exchange->call()))
+        if (!holder || wasPassedOn(exchange->request()))
             refuse(*exchange, gone);
         else
             passOn(exchange, holder->endpoint, [this, exchange, gone] { refuse(*exchange, gone); });
@@ -212,7 +212,7 @@
     auto const shard = ClaimGate::shardOf(*key);
     auto const decider = m_dependencies.view().coordinatorOf(mixHashes(hashOf("claims"), shard));
     auto const* entry = decider && *decider != m_self ? entryOf(*decider) : nullptr;
-    if (!entry || wasPassedOn(exchange->call())) {
+    if (!entry || wasPassedOn(exchange->request())) {
         claimHere(exchange, request, *key);
         return;
     }
@@ -222,7 +222,7 @@
 
 void OnceGateway::claimHere(std::shared_ptr<Exchange> const& exchange, CallerRequest const& request, IdempotencyKey const& key)
 {
-    m_claims.claim(key, fingerprintOf(exchange->call()), m_dependencies.loop.now(), [this, exchange, request, key](ClaimGate::Decision const& decision) {
+    m_claims.claim(key, fingerprintOf(exchange->request()), m_dependencies.loop.now(), [this, exchange, request, key](ClaimGate::Decision const& decision) {
         if (auto const* refusal = std::get_if<Refusal>(&decision)) {
             refuse(*exchange, *refusal);
             return;
--- a/Services/stagepostd/OnceGateway.h
+++ b/Services/stagepostd/OnceGateway.h
@@ -23,7 +23,7 @@
 public:
     // Runs a request as any other; the hook learns how it ended.
     using RunHook = std::function<void(std::shared_ptr<Exchange> const&, CallerRequest, RequestFlow::Ended)>;
-    using RefuseHook = std::function<HttpReply(Refusal const&)>;
+    using RefuseHook = std::function<HttpResponse(Refusal const&)>;
 
     struct Dependencies {
         EventLoop& loop;
@@ -42,7 +42,7 @@
     void serve(std::shared_ptr<Exchange> const&, CallerRequest);
 
     // POST /v1/tickets?count=N gives {"tickets":["..."]}.
-    HttpReply issueTickets(HttpCall const&, OrganisationId);
+    HttpResponse issueTickets(HttpRequest const&, OrganisationId);
 
     void settingsChanged(OnceSettings const&);
     void tick(Instant now) { m_claims.tick(now); }
@@ -55,7 +55,7 @@
     void passOn(std::shared_ptr<Exchange> const&, Endpoint const& holder, std::function<void()> unreachable);
     void refuse(Exchange&, Refusal const&);
     void replay(Exchange&, RecordedResponse const&);
-    bool wasPassedOn(HttpCall const&) const;
+    bool wasPassedOn(HttpRequest const&) const;
     VMEntry const* entryOf(VMId) const;
     ClaimGate::Hooks claimHooks();
 
--- a/Services/stagepostd/Options.cpp
+++ b/Services/stagepostd/Options.cpp
@@ -43,11 +43,11 @@
         options.logLevel = TRY(flags.oneOf("log-level", { "debug", "info", "warning", "error" }));
         options.drainGrace = TRY(flags.duration("drain-grace-ms", Milliseconds(0), hour));
         options.drainLimit = TRY(flags.duration("drain-limit-ms", Milliseconds(0), 24 * hour));
-        options.http.largestBody = TRY(flags.number("largest-body", 1, gigabyte));
-        options.http.largestHeaders = TRY(flags.number("largest-headers", 256, 1 << 20));
+        options.http.maxBodySize = TRY(flags.number("largest-body", 1, gigabyte));
+        options.http.maxHeaderSize = TRY(flags.number("largest-headers", 256, 1 << 20));
         options.http.requestTimeout = TRY(flags.duration("request-timeout-ms", Milliseconds(1), hour));
         options.http.keepAliveTimeout = TRY(flags.duration("keep-alive-timeout-ms", Milliseconds(1), hour));
-        options.http.mostConnections = TRY(flags.number("most-connections", 1, 1000000));
+        options.http.maxConnections = TRY(flags.number("most-connections", 1, 1000000));
         return options;
     }
 
--- a/Services/stagepostd/PeerSettings.cpp
+++ b/Services/stagepostd/PeerSettings.cpp
@@ -56,14 +56,14 @@
     if (m_isFetching || revision <= m_settings.revision())
         return;
     m_isFetching = true;
-    HttpCall call { "GET", path, { { peerField, bytesToHex(m_authenticator.signMessage(requestWord)) } }, {} };
-    m_client.fetch(peer, std::move(call), callTimeout, [this, alive = std::weak_ptr(m_alive)](Result<HttpReply> const& reply) {
+    HttpRequest call { "GET", path, { { peerField, bytesToHex(m_authenticator.signMessage(requestWord)) } }, {} };
+    m_client.fetch(peer, std::move(call), callTimeout, [this, alive = std::weak_ptr(m_alive)](Result<HttpResponse> const& reply) {
         if (!alive.expired())
             take(reply);
     });
 }
 
-void PeerSettings::take(Result<HttpReply> const& reply)
+void PeerSettings::take(Result<HttpResponse> const& reply)
 {
     m_isFetching = false;
     if (!reply || reply->status != 200)
@@ -77,13 +77,13 @@
         m_settings.adopt(*settings);
 }
 
-HttpReply PeerSettings::answer(HttpCall const& call)
+HttpResponse PeerSettings::answer(HttpRequest const& call)
 {
     auto const opened = m_authenticator.verifyMessage(hexToBytes(call.headers.find(peerField)));
     if (!opened || opened->body != requestWord)
-        return textReply(statusForbidden, "for daemons of this fleet only\n");
+        return makeTextResponse(statusForbidden, "for daemons of this fleet only\n");
     if (!m_settings.settings())
-        return textReply(statusNotFound, "no settings yet\n");
+        return makeTextResponse(statusNotFound, "no settings yet\n");
     return { 200, { { "Content-Type", "application/octet-stream" } }, m_authenticator.signMessage(encode(m_settings.applied())) };
 }
 
--- a/Services/stagepostd/PeerSettings.h
+++ b/Services/stagepostd/PeerSettings.h
@@ -19,10 +19,10 @@
 
     // A daemon says that it serves from a revision; fetches it if it is newer.
     void revisionSeen(Endpoint const& peer, Revision);
-    HttpReply answer(HttpCall const&);
+    HttpResponse answer(HttpRequest const&);
 
 private:
-    void take(Result<HttpReply> const&);
+    void take(Result<HttpResponse> const&);
 
     EventLoop& m_loop;
     HttpClient& m_client;
--- a/Services/stagepostd/RefusalReply.cpp
+++ b/Services/stagepostd/RefusalReply.cpp
@@ -4,7 +4,7 @@
 
 namespace Stagepost {
 
-HttpReply refusalReply(Refusal const& refusal)
+HttpResponse refusalReply(Refusal const& refusal)
 {
     nlohmann::json error {
         { "reason", nameOf(refusal.reason) },
@@ -14,7 +14,7 @@
     if (refusal.retryAfter)
         error["retry_after_ms"] = refusal.retryAfter->count();
     auto const body = nlohmann::json { { "error", error } }.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-    auto reply = jsonReply(httpStatusOf(refusal.reason), body + '\n');
+    auto reply = makeJsonResponse(httpStatusOf(refusal.reason), body + '\n');
     reply.headers.add("Stagepost-Reason", nameOf(refusal.reason));
     reply.headers.add("Stagepost-Verdict", nameOf(refusal.verdict));
     if (refusal.retryAfter) {
--- a/Services/stagepostd/RefusalReply.h
+++ b/Services/stagepostd/RefusalReply.h
@@ -8,6 +8,6 @@
 // The answer that tells a caller why its request was refused, whether it may
 // have run, and when asking again makes sense:
 //   {"error":{"reason":"queue-full","verdict":"not-run","message":"...","retry_after_ms":250}}
-HttpReply refusalReply(Refusal const&);
+HttpResponse refusalReply(Refusal const&);
 
 }
--- a/Services/stagepostd/RequestFlow.cpp
+++ b/Services/stagepostd/RequestFlow.cpp
@@ -24,7 +24,7 @@
 void RequestFlow::start()
 {
     m_services.retries.recordFirstAttempt();
-    m_exchange->onCallerGone([weak = weak_from_this()] {
+    m_exchange->onClientDisconnect([weak = weak_from_this()] {
         if (auto const flow = weak.lock())
             flow->callerGone();
     });
@@ -83,14 +83,14 @@
     auto const& pool = m_request.pool;
     ForwardPlan plan;
     plan.upstream = upstream.endpoint;
-    plan.call = m_request.upstreamCall;
-    plan.answerHeaders.add("Stagepost-Verdict", nameOf(Verdict::Ran));
+    plan.request = m_request.upstreamCall;
+    plan.extraResponseHeaders.add("Stagepost-Verdict", nameOf(Verdict::Ran));
     if (m_request.isChat)
-        plan.answerHeaders.add("Stagepost-Hint", toHex(lease.upstream.value()));
-    plan.answerTimeout = pool.answerTimeout;
+        plan.extraResponseHeaders.add("Stagepost-Hint", toHex(lease.upstream.value()));
+    plan.responseHeaderTimeout = pool.answerTimeout;
     plan.idleTimeout = pool.idleTimeout;
-    plan.freshConnection = !m_request.isRepeatable;
-    plan.keepBytes = m_request.keepBytes;
+    plan.requireNewConnection = !m_request.isRepeatable;
+    plan.maxRecordedBytes = m_request.keepBytes;
     m_isForwarding = true;
     m_exchange->forward(std::move(plan), [self = shared_from_this(), lease](ForwardResult const& result) {
         self->forwarded(lease, result);
@@ -119,7 +119,7 @@
     m_lastFailure = refusal;
     if (retry(lease, result))
         return;
-    if (result.answerStarted || result.failure == RefusalReason::CallerGone)
+    if (result.responseStarted || result.failure == RefusalReason::CallerGone)
         finish(refusal, result);
     else
         refuse(refusal);
@@ -131,7 +131,7 @@
         result.verdict,
         *result.failure,
         m_request.isRepeatable,
-        result.answerStarted,
+        result.responseStarted,
         m_tries,
         m_request.pool.mostTries,
         m_request.placement.deadline,
@@ -170,7 +170,7 @@
             { "priority", m_request.placement.priority == Priority::Urgent ? "urgent" : "bulk" },
             { "reason", refusal ? nameOf(refusal->reason) : "none" },
             { "verdict", nameOf(refusal ? refusal->verdict : Verdict::Ran) },
-            { "status", result.status }, { "tries", m_tries }, { "bytes", result.answerBytes },
+            { "status", result.status }, { "tries", m_tries }, { "bytes", result.responseBytes },
             { "took_us", (now - m_startedAt).count() } });
     if (auto const ended = std::exchange(m_ended, nullptr))
         ended({ refusal, result });
--- a/Services/stagepostd/RequestReader.cpp
+++ b/Services/stagepostd/RequestReader.cpp
@@ -61,7 +61,7 @@
         return static_cast<uint32_t>(bytes / bytesPerToken);
     }
 
-    std::optional<Refusal> readDeadline(HttpCall const& call, CallerRequest& request, Instant now)
+    std::optional<Refusal> readDeadline(HttpRequest const& call, CallerRequest& request, Instant now)
     {
         auto const text = call.headers.find("Stagepost-Deadline-Ms");
         request.placement.deadline = now + request.pool.queueWait;
@@ -75,7 +75,7 @@
         return {};
     }
 
-    std::optional<Refusal> readCommon(HttpCall const& call, CallerRequest& request, Instant now)
+    std::optional<Refusal> readCommon(HttpRequest const& call, CallerRequest& request, Instant now)
     {
         request.idempotencyKey = call.headers.find("Idempotency-Key");
         request.ticket = call.headers.find("Stagepost-Ticket");
@@ -95,7 +95,7 @@
     }
 
     // What goes on to the upstream. The caller's token stays here.
-    void buildUpstreamCall(HttpCall const& call, std::string target, CallerRequest& request)
+    void buildUpstreamCall(HttpRequest const& call, std::string target, CallerRequest& request)
     {
         request.upstreamCall = call;
         request.upstreamCall.target = std::move(target);
@@ -108,7 +108,7 @@
             headers.set("Stagepost-Chat", toHex(request.placement.chat.value()));
     }
 
-    std::variant<CallerRequest, Refusal> readChat(HttpCall const& call, FleetSettings const& settings, CallerRequest request, Instant now)
+    std::variant<CallerRequest, Refusal> readChat(HttpRequest const& call, FleetSettings const& settings, CallerRequest request, Instant now)
     {
         if (call.method != "POST")
             return refuse(RefusalReason::BadRequest, "a chat completion is a POST");
@@ -133,7 +133,7 @@
         return request;
     }
 
-    std::variant<CallerRequest, Refusal> readService(HttpCall const& call, FleetSettings const& settings, CallerRequest request, Instant now)
+    std::variant<CallerRequest, Refusal> readService(HttpRequest const& call, FleetSettings const& settings, CallerRequest request, Instant now)
     {
         auto const rest = std::string_view(call.target).substr(servicePrefix.size());
         auto const nameEnd = std::min({ rest.find('/'), rest.find('?'), rest.size() });
@@ -161,7 +161,7 @@
     return ChatId(mixHashes(mixHashes(hashOf(name), organisation.value()), pool.value()));
 }
 
-std::variant<OrganisationSettings, Refusal> authenticate(HttpCall const& call, FleetSettings const& settings)
+std::variant<OrganisationSettings, Refusal> authenticate(HttpRequest const& call, FleetSettings const& settings)
 {
     auto const field = call.headers.find("Authorization");
     if (!field.starts_with(bearerPrefix))
@@ -172,7 +172,7 @@
     return settings.organisations.at(found->second);
 }
 
-std::variant<CallerRequest, Refusal> readRequest(HttpCall const& call, FleetSettings const& settings, Instant now)
+std::variant<CallerRequest, Refusal> readRequest(HttpRequest const& call, FleetSettings const& settings, Instant now)
 {
     bool const isChat = call.path() == chatPath;
     if (!isChat && !call.target.starts_with(servicePrefix))
--- a/Services/stagepostd/RequestReader.h
+++ b/Services/stagepostd/RequestReader.h
@@ -15,7 +15,7 @@
     OrganisationSettings organisation;
     PoolSettings pool;
     // What goes to the upstream.
-    HttpCall upstreamCall;
+    HttpRequest upstreamCall;
     bool isChat { false };
     // Running it twice does no harm.
     bool isRepeatable { false };
@@ -26,12 +26,12 @@
 };
 
 // Reads a request to /v1/chat/completions or /services/NAME/... by the settings.
-std::variant<CallerRequest, Refusal> readRequest(HttpCall const&, FleetSettings const&, Instant now);
+std::variant<CallerRequest, Refusal> readRequest(HttpRequest const&, FleetSettings const&, Instant now);
 
 // The chat that a caller names, told apart from other organisations' chats of that name.
 ChatId chatIdOf(std::string_view name, OrganisationId, PoolId);
 
 // The organisation of the call's bearer token.
-std::variant<OrganisationSettings, Refusal> authenticate(HttpCall const&, FleetSettings const&);
+std::variant<OrganisationSettings, Refusal> authenticate(HttpRequest const&, FleetSettings const&);
 
 }
--- a/Services/stagepostd/UpstreamWatcher.cpp
+++ b/Services/stagepostd/UpstreamWatcher.cpp
@@ -55,7 +55,7 @@
     auto const upstream = entry.upstreamId();
     auto target = "/v1/status?events_from=" + std::to_string(m_nextEvent[upstream]);
     m_client.fetch(entry.endpoint, { "GET", std::move(target), {}, {} }, callTimeout,
-        [this, upstream, alive = std::weak_ptr(m_alive)](Result<HttpReply> const& reply) {
+        [this, upstream, alive = std::weak_ptr(m_alive)](Result<HttpResponse> const& reply) {
             if (!alive.expired() && reply && reply->status == statusOk)
                 take(upstream, reply->body);
         });
--- a/Tests/StandIns/StandInServer.cpp
+++ b/Tests/StandIns/StandInServer.cpp
@@ -63,7 +63,7 @@
 
 Endpoint StandInServer::listen(Endpoint const& endpoint)
 {
-    auto const native = nativeEndpoint<Tcp>(endpoint);
+    auto const native = toNativeEndpoint<Tcp>(endpoint);
     m_state->acceptor.open(native.protocol());
     m_state->acceptor.set_option(Net::socket_base::reuse_address(true));
     NetError failure;
@@ -74,7 +74,7 @@
     }
     m_state->acceptor.listen();
     Net::co_spawn(m_state->context, m_state->acceptLoop(), Net::detached);
-    return endpointOf(m_state->acceptor.local_endpoint());
+    return toEndpoint(m_state->acceptor.local_endpoint());
 }
 
 void StandInServer::stopListening()
@@ -111,9 +111,9 @@
 
 uint64_t queryNumber(Request const& request, std::string_view name, uint64_t fallback)
 {
-    HttpCall call;
+    HttpRequest call;
     call.target = request.target();
-    auto const text = call.query(name);
+    auto const text = call.queryParameter(name);
     uint64_t value = fallback;
     std::from_chars(text.data(), text.data() + text.size(), value);
     return value;
--- a/Tests/platform/TestCrashDetector.cpp
+++ b/Tests/platform/TestCrashDetector.cpp
@@ -41,7 +41,7 @@
 
 BOOST_AUTO_TEST_CASE(OpenOrSilentPortRecordsNoCrash)
 {
-    for (auto const state : { PortState::Open, PortState::Silent }) {
+    for (auto const state : { PortState::Open, PortState::NoResponse }) {
         World world;
         world.breakOff(request);
         world.answerProbe(state);
--- a/Tests/platform/TestPlatformReaders.cpp
+++ b/Tests/platform/TestPlatformReaders.cpp
@@ -49,7 +49,7 @@
     return bytes + key + value;
 }
 
-HttpCall call(std::initializer_list<HttpField> fields)
+HttpRequest call(std::initializer_list<HttpField> fields)
 {
     return { "POST", "/d/x", HttpFields(fields), "body" };
 }
--- a/Tests/platform/TestStoreClient.cpp
+++ b/Tests/platform/TestStoreClient.cpp
@@ -11,11 +11,11 @@
 // A store whose list of keys has three pages.
 struct PagedStore {
     std::vector<std::string> targets;
-    StoreClient client { {}, [this](Endpoint const&, HttpCall const& call, Milliseconds, auto const& callback) {
+    StoreClient client { {}, [this](Endpoint const&, HttpRequest const& call, Milliseconds, auto const& callback) {
                             targets.push_back(call.target);
                             nlohmann::json const item { { "key", "k" + std::to_string(targets.size()) }, { "value", "dg==" }, { "offset", 0 } };
                             nlohmann::json const page { { "items", { item } }, { "hasMore", targets.size() < 3 }, { "end", 40 + targets.size() } };
-                            callback(HttpReply { 200, {}, page.dump() });
+                            callback(HttpResponse { 200, {}, page.dump() });
                         } };
 };
 
@@ -23,10 +23,10 @@
 
 // A topic whose records are added by the test, and what is asked of it.
 struct RecordStore {
-    StoreClient client { {}, [this](Endpoint const&, HttpCall const& call, Milliseconds, auto const& callback) {
+    StoreClient client { {}, [this](Endpoint const&, HttpRequest const& call, Milliseconds, auto const& callback) {
                             targets.push_back(call.target);
                             if (isStrict && call.target.find("from=281474976710656") != std::string::npos) {
-                                callback(HttpReply { 400, {}, {} });
+                                callback(HttpResponse { 400, {}, {} });
                                 return;
                             }
                             auto const from = std::stoull(call.target.substr(call.target.find("from=") + 5));
@@ -34,7 +34,7 @@
                             body[7] = static_cast<char>(records.size());
                             for (auto at = from; at < records.size(); ++at)
                                 body += std::string { 0, 0, 0, static_cast<char>(2 + records[at].size()), 1, 'k' } + records[at];
-                            callback(HttpReply { 200, {}, body });
+                            callback(HttpResponse { 200, {}, body });
                         } };
     std::vector<std::string> records { "a", "b" };
     // Refuses a read from behind the end.
@@ -111,8 +111,8 @@
 
 BOOST_AUTO_TEST_CASE(AnItemThatCannotBeReadLeavesTheOthers)
 {
-    StoreClient const client({}, [](Endpoint const&, HttpCall const&, Milliseconds, auto const& callback) {
-        callback(HttpReply { 200, {}, R"({"items":[{"key":"a","value":"dg=="},{"key":"b","value":"no base64!"},{"key":7},3,{"key":"c","value":"dg=="}],"hasMore":false,"end":7})" });
+    StoreClient const client({}, [](Endpoint const&, HttpRequest const&, Milliseconds, auto const& callback) {
+        callback(HttpResponse { 200, {}, R"({"items":[{"key":"a","value":"dg=="},{"key":"b","value":"no base64!"},{"key":7},3,{"key":"c","value":"dg=="}],"hasMore":false,"end":7})" });
     });
     std::optional<Result<KeyedRecords>> found;
     client.newest(
@@ -183,10 +183,10 @@
 {
     EventLoop loop;
     size_t calls = 0;
-    StoreClient const client({}, [&](Endpoint const&, HttpCall const&, Milliseconds, auto const& callback) {
+    StoreClient const client({}, [&](Endpoint const&, HttpRequest const&, Milliseconds, auto const& callback) {
         ++calls;
         if (calls == 4)
-            callback(HttpReply { 200, {}, R"({"items":[],"hasMore":false,"end":7})" });
+            callback(HttpResponse { 200, {}, R"({"items":[],"hasMore":false,"end":7})" });
         else
             callback(Error(ErrorCode::Timeout, "no answer"));
     });
--- a/Tests/platform/TestStoreReturn.cpp
+++ b/Tests/platform/TestStoreReturn.cpp
@@ -10,7 +10,7 @@
 
 // A store with one topic of one key, which may come back from a copy.
 struct ReturningStore {
-    StoreClient client { {}, [this](Endpoint const&, HttpCall const& call, Milliseconds, auto const& callback) { callback(answer(call)); } };
+    StoreClient client { {}, [this](Endpoint const&, HttpRequest const& call, Milliseconds, auto const& callback) { callback(answer(call)); } };
 
     std::vector<std::string> records { "v1", "v2" };
     std::optional<uint64_t> era { 1 };
@@ -26,10 +26,10 @@
     }
 
 private:
-    HttpReply answer(HttpCall const& call)
+    HttpResponse answer(HttpRequest const& call)
     {
         targets.push_back(call.target);
-        HttpReply reply;
+        HttpResponse reply;
         if (era)
             reply.headers.add("Store-Era", std::to_string(*era));
         if (call.target.starts_with("/log-newest"))
@@ -47,7 +47,7 @@
         return nlohmann::json { { "items", hasItems ? nlohmann::json { item } : nlohmann::json::array() }, { "hasMore", false }, { "end", records.size() } }.dump();
     }
 
-    void read(HttpReply& reply, uint64_t from) const
+    void read(HttpResponse& reply, uint64_t from) const
     {
         if (from > records.size() && isStrict) {
             reply.status = 410;
--- a/Utilities/stagepostctl/FleetConnection.cpp
+++ b/Utilities/stagepostctl/FleetConnection.cpp
@@ -18,10 +18,10 @@
 {
 }
 
-Result<HttpReply> FleetConnection::fetch(Endpoint const& endpoint, HttpCall call)
+Result<HttpResponse> FleetConnection::fetch(Endpoint const& endpoint, HttpRequest call)
 {
-    Result<HttpReply> result = Error(ErrorCode::Unreachable, "no answer");
-    m_client.fetch(endpoint, std::move(call), callTimeout, [&](Result<HttpReply> reply) {
+    Result<HttpResponse> result = Error(ErrorCode::Unreachable, "no answer");
+    m_client.fetch(endpoint, std::move(call), callTimeout, [&](Result<HttpResponse> reply) {
         result = std::move(reply);
         m_loop.stop();
     });
--- a/Utilities/stagepostctl/FleetConnection.h
+++ b/Utilities/stagepostctl/FleetConnection.h
@@ -18,7 +18,7 @@
     Result<std::string> call(VMEntry const&, std::string const& method, std::string const& parametersJson = "{}");
 
 private:
-    Result<HttpReply> fetch(Endpoint const&, HttpCall);
+    Result<HttpResponse> fetch(Endpoint const&, HttpRequest);
 
     EventLoop& m_loop;
     HttpClient m_client;
