--- a/Libraries/LibBase/Error.cpp
+++ b/Libraries/LibBase/Error.cpp
@@ -14,7 +14,7 @@
         {
             switch (static_cast<ErrorCode>(value)) {
             case ErrorCode::BadInput:
-                return "invalid input";
+                return "bad input";
             case ErrorCode::Cancelled:
                 return "cancelled";
             case ErrorCode::Conflict:
@@ -30,7 +30,7 @@
             case ErrorCode::OutOfWindow:
                 return "outside the window";
             case ErrorCode::PlatformDown:
-                return "platform unavailable";
+                return "platform down";
             case ErrorCode::Replayed:
                 return "replayed";
             case ErrorCode::Timeout:
--- a/Libraries/LibProxy/Detail/Forwarder.cpp
+++ b/Libraries/LibProxy/Detail/Forwarder.cpp
@@ -29,7 +29,7 @@
 {
     m_result.deadlineReached = m_watchdog->hasReachedDeadline();
     if (m_watchdog->hasExpired())
-        fail(RefusalReason::UpstreamSlow, "the upstream timed out");
+        fail(RefusalReason::UpstreamSlow, "the upstream was silent for too long");
     else
         fail(RefusalReason::UpstreamBroken, failure.message());
 }
@@ -136,11 +136,11 @@
     auto const& header = m_parser.get();
     bool const mustMatch = m_result.reusedConnection || !m_plan.requestId.empty();
     if (mustMatch && header[m_plan.requestIdField] != m_requestId) {
-        fail(RefusalReason::UpstreamMixedAnswer, "the response does not repeat the request's id");
+        fail(RefusalReason::UpstreamMixedAnswer, "the answer does not repeat this request's id");
         return false;
     }
     if (header.result_int() < 200) {
-        fail(RefusalReason::UpstreamBroken, "unexpected interim response (1xx)");
+        fail(RefusalReason::UpstreamBroken, "an interim answer that was not asked for");
         return false;
     }
     m_result.status = header.result_int();
@@ -207,7 +207,7 @@
     if (!canContinue)
         co_return;
     if (m_splitter && m_splitter->hasIncompleteEvent()) {
-        fail(RefusalReason::UpstreamBroken, "the stream ended in the middle of an event");
+        fail(RefusalReason::UpstreamBroken, "the stream ended inside an event");
         co_return;
     }
     m_result.isRecordingComplete = m_plan.maxRecordedBytes && m_result.recordedResponse.body.size() <= m_plan.maxRecordedBytes;
--- a/Libraries/LibProxy/Detail/Session.cpp
+++ b/Libraries/LibProxy/Detail/Session.cpp
@@ -23,9 +23,9 @@
     Refusal refusalForReadError(NetError failure)
     {
         if (failure == Http::error::body_limit)
-            return { RefusalReason::BodyTooLarge, Verdict::NotRun, "the request body exceeds this daemon's limit", {} };
+            return { RefusalReason::BodyTooLarge, Verdict::NotRun, "the body is larger than this daemon takes", {} };
         if (failure == Http::error::header_limit || failure == Http::error::buffer_overflow)
-            return { RefusalReason::HeadersTooLarge, Verdict::NotRun, "the request header exceeds this daemon's limit", {} };
+            return { RefusalReason::HeadersTooLarge, Verdict::NotRun, "the header fields are larger than this daemon takes", {} };
         if (failure == Beast::error::timeout)
             return { RefusalReason::SlowCaller, Verdict::NotRun, "the request did not arrive in time", {} };
         if (failure == Http::error::partial_message)
