--- a/Services/stagepostd/Flags.h
+++ b/Services/stagepostd/Flags.h
@@ -9,39 +9,39 @@
 
 namespace Stagepost {
 
-// One setting of a process.
-struct FlagRow {
+// The definition of one command-line flag.
+struct FlagDefinition {
     char const* flag;
-    char const* fallback;
+    char const* defaultValue;
     char const* help;
     bool isRequired;
 };
 
-// The settings of a process as texts: each from its flag, else from its
-// environment variable (--peer-listen is STAGEPOST_PEER_LISTEN), else its default.
-// All errors are BadInput and name the flag, its value and what is allowed.
+// Parses command-line flags. A flag that is not given takes its value from its environment
+// variable (STAGEPOST_PEER_LISTEN for --peer-listen), or else its default value.
+// All errors are BadInput. Their text names the flag and what is wrong with it.
 class Flags {
 public:
-    static Result<Flags> parse(std::string const& program, std::string const& about, std::vector<FlagRow> const& rows, int argc, char const* const* argv);
+    static Result<Flags> parse(std::string const& program, std::string const& about, std::vector<FlagDefinition> const& definitions, int argc, char const* const* argv);
 
-    // The help or the version, where one of them was asked for.
+    // The text for --help or --version, or empty if neither was given.
     std::string const& message() const { return m_message; }
 
     Result<std::string> text(std::string const& flag) const;
     Result<Endpoint> endpoint(std::string const& flag) const;
-    Result<uint64_t> number(std::string const& flag, uint64_t least, uint64_t most) const;
-    Result<double> decimal(std::string const& flag, double least, double most) const;
-    Result<Milliseconds> duration(std::string const& flag, Milliseconds least, Milliseconds most) const;
-    Result<std::string> secret(std::string const& flag, size_t leastSize) const;
+    Result<uint64_t> number(std::string const& flag, uint64_t min, uint64_t max) const;
+    Result<double> decimal(std::string const& flag, double min, double max) const;
+    Result<Milliseconds> duration(std::string const& flag, Milliseconds min, Milliseconds max) const;
+    Result<std::string> secret(std::string const& flag, size_t minLength) const;
     Result<std::string> oneOf(std::string const& flag, std::vector<std::string> const& allowed) const;
 
 private:
-    struct Missing {
+    struct MissingFlag {
         std::string help;
     };
 
     std::map<std::string, std::string> m_values;
-    std::map<std::string, Missing> m_missing;
+    std::map<std::string, MissingFlag> m_missing;
     std::string m_message;
 };
 
--- a/Services/stagepostd/Options.h
+++ b/Services/stagepostd/Options.h
@@ -8,7 +8,7 @@
 
 namespace Stagepost {
 
-// The settings of one process, from its flags and environment variables.
+// Options of the daemon, from its flags and environment variables.
 struct Options {
     std::string name;
     std::string hall;
@@ -19,17 +19,17 @@
     std::string key;
     std::string operatorToken;
     std::string logLevel { "info" };
-    // How long a draining daemon still takes requests, for the balancer to notice.
+    // How long a draining daemon still accepts requests, so that the load balancer notices in time.
     Milliseconds drainGrace { 2000 };
-    // How long a draining daemon lets its streams finish.
+    // How long a draining daemon waits for open requests after the grace period.
     Milliseconds drainLimit { 600000 };
     HttpServerOptions http;
 
-    // What is to be printed and done instead of running, such as the help.
+    // If set, the process prints the message (the help or the version) and exits.
+    bool printsMessage { false };
     std::string message;
-    bool isHelp { false };
 
-    // Error: BadInput that names the flag, its value and what is allowed.
+    // Error: BadInput, with a text that names the flag and what is wrong with it.
     static Result<Options> parse(int argc, char const* const* argv);
 };
 
--- a/Services/stagepostd/main.cpp
+++ b/Services/stagepostd/main.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The exit code for a wrong flag or environment variable.
+// Exit code for an invalid flag or environment variable.
 constexpr int exitUsage = 2;
 
 }
@@ -18,7 +18,7 @@
         std::cerr << "stagepostd: " << options.error().detail << "\nTry 'stagepostd --help'.\n";
         return exitUsage;
     }
-    if (options->isHelp) {
+    if (options->printsMessage) {
         std::cout << options->message;
         return 0;
     }
