--- a/Services/stagepostd/Daemon.cpp
+++ b/Services/stagepostd/Daemon.cpp
@@ -18,54 +18,54 @@
     , m_options(std::move(options))
     , m_random(std::move(random))
     , m_self(VMId::fromName(m_options.name))
-    // A later start has a higher number, also on another VM of the same name.
+    // The start time, so that a later process has a higher number, also on another VM of the same name.
     , m_incarnation(static_cast<uint64_t>(std::chrono::duration_cast<Microseconds>(std::chrono::system_clock::now().time_since_epoch()).count()))
     , m_authenticator(m_options.key, m_self, m_incarnation)
     , m_client(loop)
-    , m_peers(loop, m_authenticator, m_metrics, [this](PeerMessageKind kind, VMId from, Endpoint const&, std::string_view body) { takeFromPeer(kind, from, body); })
+    , m_peerChannel(loop, m_authenticator, m_metrics, [this](PeerMessageKind kind, VMId from, Endpoint const&, std::string_view body) { handlePeerMessage(kind, from, body); })
     , m_membership(m_self, HallId::fromName(m_options.hall), m_incarnation, {
                                                                                 [this](VMId to, std::string const& body) { sendToPeer(to, PeerMessageKind::Membership, body); },
                                                                                 m_random,
                                                                                 [this] { m_isViewStale = true; },
                                                                                 [this](VMId from, Revision revision) {
-                                                                                    if (auto const* entry = m_vms.list().find(from))
-                                                                                        m_peerSettings.revisionSeen(entry->endpoint, revision);
+                                                                                    if (auto const* entry = m_vmListFollower.list().find(from))
+                                                                                        m_peerSettings.fetchIfNewer(entry->endpoint, revision);
                                                                                 },
                                                                             })
-    , m_node(m_self, {
-                         [this](VMId to, std::string const& body) { sendToPeer(to, PeerMessageKind::Routing, body); },
-                         [this](PoolId pool) { return m_policies.pool(pool); },
-                         [this](OrganisationId organisation) { return m_policies.limits(organisation, m_shareOfFleet); },
-                         [this](OrganisationId organisation) { return m_policies.weight(organisation); },
-                         m_random,
-                     })
-    , m_retries(0.1)
-    , m_vms(loop, VMListClient(m_options.vmList, fetchWith(m_client)), [this](auto const& changed) { listChanged(changed); })
-    , m_settings(loop, LogClient(m_options.log, fetchWith(m_client)), m_random, [this] { settingsApplied(); })
-    , m_policies(m_settings)
-    , m_peerSettings(loop, m_client, m_options.key, m_self, m_incarnation, m_settings)
-    , m_watcher(loop, m_client, m_node, m_vms.list())
-    , m_once({
-                 loop,
-                 m_metrics,
-                 m_vms.list(),
-                 LogClient(m_options.log, fetchWith(m_client)),
-                 m_random,
-                 [this](std::shared_ptr<Exchange> const& exchange, CallerRequest request, RequestFlow::Ended ended) { run(exchange, std::move(request), std::move(ended)); },
-                 [this](Refusal const& refusal) { return refuse(refusal); },
-                 [this]() -> RoutingView const& { return m_node.view(); },
-             },
+    , m_admission(m_self, {
+                              [this](VMId to, std::string const& body) { sendToPeer(to, PeerMessageKind::Routing, body); },
+                              [this](PoolId pool) { return m_policies.pool(pool); },
+                              [this](OrganisationId organisation) { return m_policies.limits(organisation, m_shareOfFleet); },
+                              [this](OrganisationId organisation) { return m_policies.weight(organisation); },
+                              m_random,
+                          })
+    , m_retryPolicy(0.1)
+    , m_vmListFollower(loop, VMListClient(m_options.vmList, fetchWith(m_client)), [this](auto const& changed) { handleVMListChanged(changed); })
+    , m_settingsFollower(loop, LogClient(m_options.log, fetchWith(m_client)), m_random, [this] { handleSettingsApplied(); })
+    , m_policies(m_settingsFollower)
+    , m_peerSettings(loop, m_client, m_options.key, m_self, m_incarnation, m_settingsFollower)
+    , m_upstreamWatcher(loop, m_client, m_admission, m_vmListFollower.list())
+    , m_onceGateway({
+                        loop,
+                        m_metrics,
+                        m_vmListFollower.list(),
+                        LogClient(m_options.log, fetchWith(m_client)),
+                        m_random,
+                        [this](std::shared_ptr<Exchange> const& exchange, CallerRequest request, RequestHandler::FinishedCallback finished) { startRequest(exchange, std::move(request), std::move(finished)); },
+                        [this](Refusal const& refusal) { return refuse(refusal); },
+                        [this]() -> RoutingView const& { return m_admission.view(); },
+                    },
           m_options.key, m_self, m_incarnation)
-    , m_operator({
+    , m_operatorServer({
           [this] { return status(); },
           [this](bool draining) { setDraining(draining); },
           [this](auto const& model, auto const& organisation, auto const& chat) {
-              return explainPlacement({ m_node, m_vms.list(), m_policies, m_options.name }, { model, organisation, chat }, m_loop.now());
+              return explainPlacement({ m_admission, m_vmListFollower.list(), m_policies, m_options.name }, { model, organisation, chat }, m_loop.now());
           },
       })
     , m_server(
-          loop, m_options.http, [this](std::shared_ptr<Exchange> const& exchange) { handle(exchange); }, [this](Refusal const& refusal) { return refuse(refusal); })
-    , m_ticker(loop)
+          loop, m_options.http, [this](std::shared_ptr<Exchange> const& exchange) { handleRequest(exchange); }, [this](Refusal const& refusal) { return refuse(refusal); })
+    , m_tickTimer(loop)
     , m_drain(loop, m_server)
 {
 }
@@ -74,55 +74,55 @@
 
 Result<void> Daemon::start()
 {
-    auto const peer = TRY(m_peers.bind(m_options.peerListen));
+    auto const peer = TRY(m_peerChannel.bind(m_options.peerListen));
     m_callerEndpoint = TRY(m_server.listen(m_options.listen));
     logEvent(LogLevel::Info, "started", { { "name", m_options.name }, { "hall", m_options.hall }, { "listen", m_callerEndpoint.toString() }, { "peer_listen", peer.toString() } });
     updateView();
-    m_vms.start();
-    m_settings.start();
-    m_watcher.start();
-    m_ticker.every(AdmissionController::tickInterval, [this] { tick(); });
+    m_vmListFollower.start();
+    m_settingsFollower.start();
+    m_upstreamWatcher.start();
+    m_tickTimer.every(AdmissionController::tickInterval, [this] { tick(); });
     return {};
 }
 
 bool Daemon::isReady() const
 {
-    return !m_isDraining && m_settings.settings() && m_vms.hasList();
+    return !m_isDraining && m_settingsFollower.settings() && m_vmListFollower.hasList();
 }
 
 void Daemon::sendToPeer(VMId to, PeerMessageKind kind, std::string const& body)
 {
-    auto const* entry = m_vms.list().find(to);
+    auto const* entry = m_vmListFollower.list().find(to);
     if (entry && entry->peerEndpoint)
-        m_peers.send(*entry->peerEndpoint, kind, body);
+        m_peerChannel.send(*entry->peerEndpoint, kind, body);
 }
 
-void Daemon::takeFromPeer(PeerMessageKind kind, VMId from, std::string_view body)
+void Daemon::handlePeerMessage(PeerMessageKind kind, VMId from, std::string_view body)
 {
-    auto const isTaken = [&]() -> bool {
+    auto const isAccepted = [&]() -> bool {
         if (kind == PeerMessageKind::Membership)
             return m_membership.receive(from, body, m_loop.now()).has_value();
-        return kind == PeerMessageKind::Routing && m_node.receive(from, body, m_loop.now()).has_value();
+        return kind == PeerMessageKind::Routing && m_admission.receive(from, body, m_loop.now()).has_value();
     };
-    if (!isTaken())
+    if (!isAccepted())
         m_metrics.count("stagepost_peer_dropped_total", "reason=\"malformed\"");
 }
 
-void Daemon::settingsApplied()
+void Daemon::handleSettingsApplied()
 {
-    m_node.refreshSettings();
-    m_membership.setRevision(m_settings.revision());
-    m_once.settingsChanged(m_settings.settings()->once);
+    m_admission.refreshSettings();
+    m_membership.setRevision(m_settingsFollower.revision());
+    m_onceGateway.updateSettings(m_settingsFollower.settings()->once);
     double share = 0;
-    for (auto const& [id, pool] : m_settings.settings()->pools)
+    for (auto const& [id, pool] : m_settingsFollower.settings()->pools)
         share = std::max(share, pool.retryShare);
-    m_retries.setShare(share);
-    m_metrics.setGauge("stagepost_settings_revision", static_cast<double>(m_settings.revision().value()));
+    m_retryPolicy.setShare(share);
+    m_metrics.setGauge("stagepost_settings_revision", static_cast<double>(m_settingsFollower.revision().value()));
 }
 
-void Daemon::listChanged(std::vector<VMEntry> const& changed)
+void Daemon::handleVMListChanged(std::vector<VMEntry> const& changed)
 {
-    auto const version = m_vms.list().version();
+    auto const version = m_vmListFollower.list().version();
     for (auto const& entry : changed) {
         if (entry.state == VMState::Gone) {
             m_membership.removeMember(entry.id());
@@ -140,13 +140,13 @@
 void Daemon::updateView()
 {
     m_isViewStale = false;
-    auto const view = makeRoutingView(m_vms.list(), m_membership, m_self, m_options.hall, m_loop.now());
-    m_shareOfFleet = shareOfFleet(m_vms.list(), view);
-    m_node.setView(view, m_loop.now());
-    m_node.refreshSettings();
+    auto const view = makeRoutingView(m_vmListFollower.list(), m_membership, m_self, m_options.hall, m_loop.now());
+    m_shareOfFleet = shareOfFleet(m_vmListFollower.list(), view);
+    m_admission.setView(view, m_loop.now());
+    m_admission.refreshSettings();
     m_metrics.setGauge("stagepost_upstreams", static_cast<double>(view.upstreams().size()));
     m_metrics.setGauge("stagepost_daemons", static_cast<double>(view.daemons().size()));
-    logEvent(LogLevel::Info, "view", { { "daemons", view.daemons().size() }, { "upstreams", view.upstreams().size() }, { "owned", m_node.leaseServer().ownedCount() } });
+    logEvent(LogLevel::Info, "view", { { "daemons", view.daemons().size() }, { "upstreams", view.upstreams().size() }, { "owned", m_admission.leaseServer().ownedCount() } });
 }
 
 void Daemon::tick()
@@ -154,8 +154,8 @@
     m_membership.tick(m_loop.now());
     if (m_isViewStale)
         updateView();
-    m_node.tick(m_loop.now());
-    m_once.tick(m_loop.now());
+    m_admission.tick(m_loop.now());
+    m_onceGateway.tick(m_loop.now());
 }
 
 HttpReply Daemon::refuse(Refusal const& refusal)
@@ -164,10 +164,10 @@
     return refusalReply(refusal);
 }
 
-void Daemon::handle(std::shared_ptr<Exchange> const& exchange)
+void Daemon::handleRequest(std::shared_ptr<Exchange> const& exchange)
 {
     if (!handleLocally(*exchange))
-        serve(exchange);
+        serveRequest(exchange);
 }
 
 bool Daemon::handleLocally(Exchange& exchange)
@@ -186,15 +186,15 @@
         return true;
     }
     if (path == PeerSettings::path) {
-        exchange.respond(m_peerSettings.answer(exchange.call()));
+        exchange.respond(m_peerSettings.handleRequest(exchange.call()));
         return true;
     }
     if (path == "/v1/tickets" && exchange.call().method == "POST") {
-        exchange.respond(handleTickets(exchange.call()));
+        exchange.respond(issueTickets(exchange.call()));
         return true;
     }
     if (path == "/rpc") {
-        exchange.respond(handleOperator(exchange.call()));
+        exchange.respond(handleOperatorRequest(exchange.call()));
         return true;
     }
     return false;
@@ -203,22 +203,22 @@
 HttpReply Daemon::renderMetrics()
 {
     m_metrics.setGauge("stagepost_open_requests", static_cast<double>(m_server.openExchanges()));
-    m_metrics.setGauge("stagepost_open_leases", static_cast<double>(m_node.leaseClient().openLeaseCount()));
-    m_metrics.setGauge("stagepost_owned_upstreams", static_cast<double>(m_node.leaseServer().ownedCount()));
-    m_metrics.setGauge("stagepost_queued_requests", static_cast<double>(m_node.leaseServer().queued()));
-    m_metrics.setGauge("stagepost_control_bytes_sent", static_cast<double>(m_peers.socket().bytesSent()));
-    m_metrics.setGauge("stagepost_control_messages_sent", static_cast<double>(m_peers.socket().messagesSent()));
-    m_once.renderMetrics(m_metrics);
+    m_metrics.setGauge("stagepost_open_leases", static_cast<double>(m_admission.leaseClient().openLeaseCount()));
+    m_metrics.setGauge("stagepost_owned_upstreams", static_cast<double>(m_admission.leaseServer().ownedCount()));
+    m_metrics.setGauge("stagepost_queued_requests", static_cast<double>(m_admission.leaseServer().queued()));
+    m_metrics.setGauge("stagepost_control_bytes_sent", static_cast<double>(m_peerChannel.socket().bytesSent()));
+    m_metrics.setGauge("stagepost_control_messages_sent", static_cast<double>(m_peerChannel.socket().messagesSent()));
+    m_onceGateway.renderMetrics(m_metrics);
     return textReply(200, m_metrics.render());
 }
 
-HttpReply Daemon::handleOperator(HttpCall const& call)
+HttpReply Daemon::handleOperatorRequest(HttpCall const& call)
 {
-    // Comparing tags instead of tokens takes the same time wherever they differ.
+    // Tags are compared in constant time, so the response time reveals nothing about the token.
     auto const expected = m_authenticator.tagOf("Bearer " + m_options.operatorToken);
     if (call.method != "POST" || !m_authenticator.matches(call.headers.find("Authorization"), expected))
-        return refuse({ RefusalReason::WrongToken, Verdict::NotRun, "the operator's token is wrong or missing", {} });
-    return jsonReply(200, m_operator.handle(call.body));
+        return refuse({ RefusalReason::WrongToken, Verdict::NotRun, "the bearer token of the operator is missing or invalid", {} });
+    return jsonReply(200, m_operatorServer.handle(call.body));
 }
 
 DaemonStatus Daemon::status() const
@@ -226,15 +226,15 @@
     DaemonStatus status;
     status.name = m_options.name;
     status.hall = m_options.hall;
-    status.revision = m_settings.revision().value();
+    status.revision = m_settingsFollower.revision().value();
     status.isReady = isReady();
     status.isDraining = m_isDraining;
-    status.isLogReachable = m_settings.isLogReachable();
-    status.daemons = m_node.view().daemons().size();
-    status.upstreams = m_node.view().upstreams().size();
-    status.ownedUpstreams = m_node.leaseServer().ownedCount();
+    status.isLogReachable = m_settingsFollower.isLogReachable();
+    status.daemons = m_admission.view().daemons().size();
+    status.upstreams = m_admission.view().upstreams().size();
+    status.ownedUpstreams = m_admission.leaseServer().ownedCount();
     status.openRequests = m_server.openExchanges();
-    status.queuedRequests = m_node.leaseServer().queued();
+    status.queuedRequests = m_admission.leaseServer().queued();
     return status;
 }
 
@@ -248,48 +248,48 @@
     m_isViewStale = true;
 }
 
-void Daemon::serve(std::shared_ptr<Exchange> const& exchange)
+void Daemon::serveRequest(std::shared_ptr<Exchange> const& exchange)
 {
-    auto const settings = m_settings.settings();
+    auto const settings = m_settingsFollower.settings();
     if (!settings) {
-        exchange->respond(refuse({ RefusalReason::NoSettings, Verdict::NotRun, "this daemon has no settings yet", Milliseconds(1000) }));
+        exchange->respond(refuse({ RefusalReason::NoSettings, Verdict::NotRun, "this daemon has not received any settings yet", Milliseconds(1000) }));
         return;
     }
     auto request = readRequest(exchange->call(), *settings, m_loop.now());
     if (auto const* refusal = std::get_if<Refusal>(&request)) {
         logRequest(
             { { "path", exchange->call().path() }, { "reason", nameOf(refusal->reason) }, { "verdict", nameOf(refusal->verdict) },
-                { "settings", m_settings.revision().value() }, { "detail", refusal->detail } });
+                { "settings", m_settingsFollower.revision().value() }, { "detail", refusal->detail } });
         exchange->respond(refuse(*refusal));
         return;
     }
     auto& accepted = std::get<CallerRequest>(request);
-    if (OnceGateway::isFor(accepted))
-        m_once.serve(exchange, std::move(accepted));
+    if (OnceGateway::isResponsibleFor(accepted))
+        m_onceGateway.serve(exchange, std::move(accepted));
     else
-        run(exchange, std::move(accepted), [](auto const&) {});
+        startRequest(exchange, std::move(accepted), [](auto const&) {});
 }
 
-void Daemon::run(std::shared_ptr<Exchange> const& exchange, CallerRequest request, RequestFlow::Ended ended)
+void Daemon::startRequest(std::shared_ptr<Exchange> const& exchange, CallerRequest request, RequestHandler::FinishedCallback finished)
 {
-    if (auto const refusal = m_node.admitOrganisation(request.organisation.id, m_loop.now())) {
+    if (auto const refusal = m_admission.admitOrganisation(request.organisation.id, m_loop.now())) {
         exchange->respond(refuse(*refusal));
-        ended({ refusal, {} });
+        finished({ refusal, {} });
         return;
     }
-    RequestServices const services { m_loop, m_node, m_retries, m_metrics, m_vms.list() };
-    std::make_shared<RequestFlow>(services, exchange, std::move(request), std::move(ended))->start();
+    RequestServices const services { m_loop, m_admission, m_retryPolicy, m_metrics, m_vmListFollower.list() };
+    std::make_shared<RequestHandler>(services, exchange, std::move(request), std::move(finished))->start();
 }
 
-HttpReply Daemon::handleTickets(HttpCall const& call)
+HttpReply Daemon::issueTickets(HttpCall const& call)
 {
-    auto const settings = m_settings.settings();
+    auto const settings = m_settingsFollower.settings();
     if (!settings)
-        return refuse({ RefusalReason::NoSettings, Verdict::NotRun, "this daemon has no settings yet", Milliseconds(1000) });
+        return refuse({ RefusalReason::NoSettings, Verdict::NotRun, "this daemon has not received any settings yet", Milliseconds(1000) });
     auto const organisation = authenticate(call, *settings);
     if (auto const* refusal = std::get_if<Refusal>(&organisation))
         return refuse(*refusal);
-    return m_once.issueTickets(call, std::get<OrganisationSettings>(organisation).id);
+    return m_onceGateway.issueTickets(call, std::get<OrganisationSettings>(organisation).id);
 }
 
 void Daemon::drain(std::function<void()> drained)
@@ -301,7 +301,7 @@
     m_server.setClosing(true);
     auto const limit = m_loop.now() + m_options.drainGrace + m_options.drainLimit;
     m_drain.start(m_options.drainGrace, limit, [this, drained = std::move(drained)] {
-        m_node.tick(m_loop.now());
+        m_admission.tick(m_loop.now());
         drained();
     });
 }
--- a/Services/stagepostd/Daemon.h
+++ b/Services/stagepostd/Daemon.h
@@ -13,7 +13,7 @@
 #include <stagepostd/Options.h>
 #include <stagepostd/PeerChannel.h>
 #include <stagepostd/PeerSettings.h>
-#include <stagepostd/RequestFlow.h>
+#include <stagepostd/RequestHandler.h>
 #include <stagepostd/ServerDrain.h>
 #include <stagepostd/SettingsFollower.h>
 #include <stagepostd/SettingsPolicies.h>
@@ -22,7 +22,8 @@
 
 namespace Stagepost {
 
-// The daemon of one entry VM, put together from the libraries.
+// The daemon of one entry VM. Connects the components that serve callers, other daemons and the
+// operator's tool.
 class Daemon {
 public:
     Daemon(EventLoop&, Options, RandomHook);
@@ -30,11 +31,11 @@
     Daemon(Daemon const&) = delete;
     Daemon& operator=(Daemon const&) = delete;
 
-    // Binds its sockets and begins to follow the platform. Error: Unreachable.
+    // Binds the sockets and starts to follow the platform's list of VMs and its log. Error: Unreachable.
     Result<void> start();
 
-    // Turns unready at once, goes on serving for the grace period, then takes no
-    // more and calls back when every request in progress has its answer.
+    // Reports the daemon as unready at once and accepts requests for the grace period. Then
+    // stops listening, and calls back when no request is open or the drain limit has passed.
     void drain(std::function<void()> drained);
 
     bool isReady() const;
@@ -42,20 +43,20 @@
     Metrics& metrics() { return m_metrics; }
 
 private:
-    void handle(std::shared_ptr<Exchange> const&);
+    void handleRequest(std::shared_ptr<Exchange> const&);
     bool handleLocally(Exchange&);
-    void serve(std::shared_ptr<Exchange> const&);
-    void run(std::shared_ptr<Exchange> const&, CallerRequest, RequestFlow::Ended);
-    HttpReply handleTickets(HttpCall const&);
-    HttpReply handleOperator(HttpCall const&);
+    void serveRequest(std::shared_ptr<Exchange> const&);
+    void startRequest(std::shared_ptr<Exchange> const&, CallerRequest, RequestHandler::FinishedCallback);
+    HttpReply issueTickets(HttpCall const&);
+    HttpReply handleOperatorRequest(HttpCall const&);
     HttpReply renderMetrics();
     DaemonStatus status() const;
     void setDraining(bool);
     HttpReply refuse(Refusal const&);
-    void settingsApplied();
-    void listChanged(std::vector<VMEntry> const&);
+    void handleSettingsApplied();
+    void handleVMListChanged(std::vector<VMEntry> const&);
     void updateView();
-    void takeFromPeer(PeerMessageKind, VMId from, std::string_view body);
+    void handlePeerMessage(PeerMessageKind, VMId from, std::string_view body);
     void tick();
     void sendToPeer(VMId, PeerMessageKind, std::string const& body);
 
@@ -67,20 +68,20 @@
     Metrics m_metrics;
     Authenticator m_authenticator;
     HttpClient m_client;
-    PeerChannel m_peers;
+    PeerChannel m_peerChannel;
     Membership m_membership;
-    AdmissionController m_node;
-    RetryPolicy m_retries;
-    VMListFollower m_vms;
-    SettingsFollower m_settings;
+    AdmissionController m_admission;
+    RetryPolicy m_retryPolicy;
+    VMListFollower m_vmListFollower;
+    SettingsFollower m_settingsFollower;
     SettingsPolicies m_policies;
     PeerSettings m_peerSettings;
-    UpstreamWatcher m_watcher;
-    OnceGateway m_once;
-    OperatorServer m_operator;
+    UpstreamWatcher m_upstreamWatcher;
+    OnceGateway m_onceGateway;
+    OperatorServer m_operatorServer;
     HttpServer m_server;
     Endpoint m_callerEndpoint;
-    Timer m_ticker;
+    Timer m_tickTimer;
     ServerDrain m_drain;
     bool m_isViewStale { false };
     double m_shareOfFleet { 1 };
--- a/Services/stagepostd/RequestFlow.cpp
+++ b/Services/stagepostd/RequestHandler.cpp
@@ -1,4 +1,4 @@
-#include <stagepostd/RequestFlow.h>
+#include <stagepostd/RequestHandler.h>
 
 #include <LibBase/Hex.h>
 #include <LibBase/Log.h>
@@ -12,57 +12,57 @@
 
 }
 
-RequestFlow::RequestFlow(RequestServices services, std::shared_ptr<Exchange> exchange, CallerRequest request, Ended ended)
+RequestHandler::RequestHandler(RequestServices services, std::shared_ptr<Exchange> exchange, CallerRequest request, FinishedCallback finished)
     : m_services(services)
     , m_exchange(std::move(exchange))
     , m_request(std::move(request))
-    , m_ended(std::move(ended))
+    , m_finishedCallback(std::move(finished))
     , m_startedAt(services.loop.now())
 {
 }
 
-void RequestFlow::start()
+void RequestHandler::start()
 {
-    m_services.retries.recordFirstAttempt();
+    m_services.retryPolicy.recordFirstAttempt();
     m_exchange->onCallerGone([weak = weak_from_this()] {
-        if (auto const flow = weak.lock())
-            flow->callerGone();
+        if (auto const handler = weak.lock())
+            handler->handleCallerGone();
     });
-    place();
+    requestPlacement();
 }
 
-void RequestFlow::place()
+void RequestHandler::requestPlacement()
 {
-    ++m_tries;
-    // The answer may come from within acquire(), before its number is known.
-    auto const number = m_services.node.acquire(m_request.placement, m_services.loop.now(), [self = shared_from_this()](Placement const& placement) {
-        self->placed(placement);
+    ++m_attempts;
+    // acquire() may call back before it returns the number.
+    auto const number = m_services.admission.acquire(m_request.placement, m_services.loop.now(), [self = shared_from_this()](Placement const& placement) {
+        self->handlePlacement(placement);
     });
-    m_placing = number;
+    m_placementNumber = number;
 }
 
-void RequestFlow::callerGone()
+void RequestHandler::handleCallerGone()
 {
-    if (m_isOver)
+    if (m_isFinished)
         return;
-    if (m_placing)
-        m_services.node.cancel(*m_placing, m_services.loop.now());
-    // A forward in progress ends by itself, with its own verdict.
+    if (m_placementNumber)
+        m_services.admission.cancel(*m_placementNumber, m_services.loop.now());
+    // A forward in progress ends by itself and reports its own verdict.
     if (!m_isForwarding)
-        finish(Refusal { RefusalReason::CallerGone, m_doubt, "the caller left before its request was sent on", {} }, {});
+        finish(Refusal { RefusalReason::CallerGone, m_combinedVerdict, "the caller closed its connection before the request was forwarded", {} }, {});
 }
 
-void RequestFlow::placed(Placement const& placement)
+void RequestHandler::handlePlacement(Placement const& placement)
 {
-    if (m_isOver) {
+    if (m_isFinished) {
         if (auto const* lease = std::get_if<Lease>(&placement))
-            m_services.node.release(lease->id, LeaseOutcome::Unused, m_services.loop.now());
+            m_services.admission.release(lease->id, LeaseOutcome::Unused, m_services.loop.now());
         return;
     }
     if (auto const* refusal = std::get_if<Refusal>(&placement)) {
-        // When nobody else is left to try, the failure of the last try says more.
-        bool const isAlone = refusal->reason == RefusalReason::NoUpstream && m_lastFailure;
-        refuse(isAlone ? *m_lastFailure : *refusal);
+        // If no other upstream is left, the failure of the last attempt is more informative.
+        bool const isNoneLeft = refusal->reason == RefusalReason::NoUpstream && m_lastFailure;
+        refuse(isNoneLeft ? *m_lastFailure : *refusal);
         return;
     }
     auto const& lease = std::get<Lease>(placement);
@@ -74,11 +74,11 @@
             return;
         }
     }
-    m_services.node.release(lease.id, LeaseOutcome::Unused, m_services.loop.now());
-    refuse({ RefusalReason::NoUpstream, Verdict::NotRun, "the upstream has left the list", Milliseconds(1000) });
+    m_services.admission.release(lease.id, LeaseOutcome::Unused, m_services.loop.now());
+    refuse({ RefusalReason::NoUpstream, Verdict::NotRun, "the upstream is no longer in the list of VMs", Milliseconds(1000) });
 }
 
-void RequestFlow::forward(Lease const& lease, VMEntry const& upstream)
+void RequestHandler::forward(Lease const& lease, VMEntry const& upstream)
 {
     auto const& pool = m_request.pool;
     ForwardPlan plan;
@@ -93,29 +93,29 @@
     plan.keepBytes = m_request.keepBytes;
     m_isForwarding = true;
     m_exchange->forward(std::move(plan), [self = shared_from_this(), lease](ForwardResult const& result) {
-        self->forwarded(lease, result);
+        self->handleForwardResult(lease, result);
     });
 }
 
-LeaseOutcome RequestFlow::outcomeOf(ForwardResult const& result) const
+LeaseOutcome RequestHandler::outcomeOf(ForwardResult const& result) const
 {
     if (result.failure == RefusalReason::CallerGone || result.failure == RefusalReason::SlowCaller)
         return LeaseOutcome::Unused;
     return result.failure || result.status >= firstServerError ? LeaseOutcome::Failed : LeaseOutcome::Succeeded;
 }
 
-void RequestFlow::forwarded(Lease const& lease, ForwardResult const& result)
+void RequestHandler::handleForwardResult(Lease const& lease, ForwardResult const& result)
 {
     m_isForwarding = false;
-    if (m_isOver)
+    if (m_isFinished)
         return;
-    m_services.node.release(lease.id, outcomeOf(result), m_services.loop.now());
+    m_services.admission.release(lease.id, outcomeOf(result), m_services.loop.now());
     if (!result.failure) {
         finish({}, result);
         return;
     }
-    m_doubt = combine(m_doubt, result.verdict);
-    Refusal const refusal { *result.failure, m_doubt, result.detail, {} };
+    m_combinedVerdict = combine(m_combinedVerdict, result.verdict);
+    Refusal const refusal { *result.failure, m_combinedVerdict, result.detail, {} };
     m_lastFailure = refusal;
     if (retry(lease, result))
         return;
@@ -125,41 +125,41 @@
         refuse(refusal);
 }
 
-bool RequestFlow::retry(Lease const& lease, ForwardResult const& result)
+bool RequestHandler::retry(Lease const& lease, ForwardResult const& result)
 {
     RetryContext const failed {
         result.verdict,
         *result.failure,
         m_request.isRepeatable,
         result.answerStarted,
-        m_tries,
+        m_attempts,
         m_request.pool.mostTries,
         m_request.placement.deadline,
     };
-    auto const decision = m_services.retries.decide(failed, m_services.loop.now());
+    auto const decision = m_services.retryPolicy.decide(failed, m_services.loop.now());
     if (decision != RetryDecision::Retry) {
         m_services.metrics.count("stagepost_retries_refused_total", "reason=\"" + std::string(nameOf(decision)) + '"');
         return false;
     }
     m_services.metrics.countRetry(nameOf(*result.failure));
     m_request.placement.excluded.push_back(lease.upstream);
-    place();
+    requestPlacement();
     return true;
 }
 
-// A request that was tried before keeps the doubt of that try.
-void RequestFlow::refuse(Refusal refusal)
+// An earlier attempt of the request may have run, so its verdict is included.
+void RequestHandler::refuse(Refusal refusal)
 {
-    refusal.verdict = combine(refusal.verdict, m_doubt);
+    refusal.verdict = combine(refusal.verdict, m_combinedVerdict);
     m_exchange->respond(refusalReply(refusal));
     finish(refusal, {});
 }
 
-void RequestFlow::finish(std::optional<Refusal> const& refusal, ForwardResult const& result)
+void RequestHandler::finish(std::optional<Refusal> const& refusal, ForwardResult const& result)
 {
-    m_isOver = true;
+    m_isFinished = true;
     auto const now = m_services.loop.now();
-    m_services.node.organisationFinished(m_request.organisation.id);
+    m_services.admission.organisationFinished(m_request.organisation.id);
     m_services.metrics.observe("stagepost_request_seconds", now - m_startedAt);
     if (refusal)
         m_services.metrics.countRefusal(*refusal);
@@ -170,10 +170,10 @@
             { "priority", m_request.placement.priority == Priority::Urgent ? "urgent" : "bulk" },
             { "reason", refusal ? nameOf(refusal->reason) : "none" },
             { "verdict", nameOf(refusal ? refusal->verdict : Verdict::Ran) },
-            { "status", result.status }, { "tries", m_tries }, { "bytes", result.answerBytes },
+            { "status", result.status }, { "tries", m_attempts }, { "bytes", result.answerBytes },
             { "took_us", (now - m_startedAt).count() } });
-    if (auto const ended = std::exchange(m_ended, nullptr))
-        ended({ refusal, result });
+    if (auto const finished = std::exchange(m_finishedCallback, nullptr))
+        finished({ refusal, result });
 }
 
 }
