--- a/Services/stagepostd/OnceGateway.cpp
+++ b/Services/stagepostd/OnceGateway.cpp
@@ -10,28 +10,28 @@
 
 namespace {
 
-    constexpr char const* passedOnField = "Stagepost-Passed-On";
-    constexpr uint64_t mostTicketsAtOnce = 256;
-    constexpr size_t readBatch = 500;
-    // What is left of the fleet's appends to the settings and to chance.
-    constexpr double claimShare = 0.8;
+    constexpr char const* forwardedField = "Stagepost-Passed-On";
+    constexpr uint64_t maxTicketsPerRequest = 256;
+    constexpr size_t maxRecordsPerRead = 500;
+    // The share of the fleet's appends that claims may use. The rest is for the settings and as a reserve.
+    constexpr double claimAppendShare = 0.8;
     constexpr Milliseconds answerTimeout { 120000 };
 
-    uint64_t fingerprintOf(HttpCall const& call)
+    uint64_t requestFingerprint(HttpCall const& call)
     {
         return mixHashes(mixHashes(hashOf(call.method), hashOf(call.target)), hashOf(call.body));
     }
 
-    ClaimGateOptions gateOptions(OnceSettings const& settings)
+    ClaimGateOptions makeClaimGateOptions(OnceSettings const& settings)
     {
         ClaimGateOptions options;
-        options.appendsPerSecond = settings.logAppendsPerSecond * claimShare / static_cast<double>(ClaimGate::shardCount);
+        options.appendsPerSecond = settings.logAppendsPerSecond * claimAppendShare / static_cast<double>(ClaimGate::shardCount);
         options.window = settings.claimWindow;
         options.memoryBytes = settings.memoryBytes / 4 * 3;
         return options;
     }
 
-    RecordedAnswer recordOf(ForwardResult const& result)
+    RecordedAnswer toRecordedAnswer(ForwardResult const& result)
     {
         RecordedAnswer answer;
         answer.status = result.status;
@@ -43,9 +43,9 @@
         return answer;
     }
 
-    std::string wordFor(HttpCall const& call)
+    std::string forwardedTagText(HttpCall const& call)
     {
-        return "passed-on" + hexOf(fingerprintOf(call));
+        return "passed-on" + hexOf(requestFingerprint(call));
     }
 
 }
@@ -54,8 +54,8 @@
     : m_dependencies(std::move(dependencies))
     , m_authenticator(std::string(key) + "/once", self, incarnation)
     , m_self(self)
-    , m_tickets(m_authenticator, self, incarnation, m_settings.ticketWindow, m_settings.memoryBytes / 4)
-    , m_claims(gateOptions(m_settings), claimHooks())
+    , m_ticketBook(m_authenticator, self, incarnation, m_settings.ticketWindow, m_settings.memoryBytes / 4)
+    , m_claimGate(makeClaimGateOptions(m_settings), claimHooks())
 {
 }
 
@@ -69,7 +69,7 @@
             });
         },
         [this](std::string const& stream, Offset from, std::function<void(Result<ClaimGate::ReadResult>)> callback) {
-            m_dependencies.log.read(stream, from, readBatch, Milliseconds(0), [alive = std::weak_ptr(m_alive), callback = std::move(callback)](Result<LogBatch> const& batch) {
+            m_dependencies.log.read(stream, from, maxRecordsPerRead, Milliseconds(0), [alive = std::weak_ptr(m_alive), callback = std::move(callback)](Result<LogBatch> const& batch) {
                 if (alive.expired())
                     return;
                 if (!batch) {
@@ -87,33 +87,33 @@
     };
 }
 
-void OnceGateway::settingsChanged(OnceSettings const& settings)
+void OnceGateway::updateSettings(OnceSettings const& settings)
 {
     m_settings = settings;
-    m_claims.setOptions(gateOptions(settings));
-    m_tickets.setBounds(settings.ticketWindow, settings.memoryBytes / 4);
+    m_claimGate.setOptions(makeClaimGateOptions(settings));
+    m_ticketBook.setBounds(settings.ticketWindow, settings.memoryBytes / 4);
 }
 
 void OnceGateway::renderMetrics(Metrics& metrics) const
 {
-    metrics.setGauge("stagepost_once_keys", static_cast<double>(m_claims.keys()));
-    metrics.setGauge("stagepost_once_tickets", static_cast<double>(m_tickets.remembered()));
-    metrics.setGauge("stagepost_once_bytes", static_cast<double>(m_claims.bytes() + m_tickets.bytes()));
-    metrics.setGauge("stagepost_log_appends", static_cast<double>(m_claims.appends()));
+    metrics.setGauge("stagepost_once_keys", static_cast<double>(m_claimGate.keys()));
+    metrics.setGauge("stagepost_once_tickets", static_cast<double>(m_ticketBook.remembered()));
+    metrics.setGauge("stagepost_once_bytes", static_cast<double>(m_claimGate.bytes() + m_ticketBook.bytes()));
+    metrics.setGauge("stagepost_log_appends", static_cast<double>(m_claimGate.appends()));
 }
 
 HttpReply OnceGateway::issueTickets(HttpCall const& call, OrganisationId organisation)
 {
-    auto const text = call.query("count");
+    auto const countText = call.query("count");
     uint64_t count = 1;
-    if (!text.empty()) {
-        auto const [end, code] = std::from_chars(text.data(), text.data() + text.size(), count);
-        if (code != std::errc() || end != text.data() + text.size() || count == 0 || count > mostTicketsAtOnce)
-            return m_dependencies.refuse({ RefusalReason::BadRequest, Verdict::NotRun, "count is a number from 1 to 256", {} });
+    if (!countText.empty()) {
+        auto const [end, code] = std::from_chars(countText.data(), countText.data() + countText.size(), count);
+        if (code != std::errc() || end != countText.data() + countText.size() || count == 0 || count > maxTicketsPerRequest)
+            return m_dependencies.refuse({ RefusalReason::BadRequest, Verdict::NotRun, "count must be a number from 1 to 256", {} });
     }
-    auto const tickets = m_tickets.issue(organisation, count);
+    auto const tickets = m_ticketBook.issue(organisation, count);
     if (tickets.empty())
-        return m_dependencies.refuse({ RefusalReason::OnceMemoryFull, Verdict::NotRun, "as many tickets are running as can be remembered", Milliseconds(1000) });
+        return m_dependencies.refuse({ RefusalReason::OnceMemoryFull, Verdict::NotRun, "the ticket window is full and its oldest ticket is still running", Milliseconds(1000) });
     return jsonReply(200, nlohmann::json { { "tickets", tickets } }.dump() + '\n');
 }
 
@@ -133,40 +133,40 @@
     exchange.respond(std::move(reply));
 }
 
-// A request is passed on once at the most: whoever gets it decides.
-bool OnceGateway::wasPassedOn(HttpCall const& call) const
+// A request is forwarded at most once. The daemon that receives it makes the decision.
+bool OnceGateway::wasForwardedByDaemon(HttpCall const& call) const
 {
-    return m_authenticator.matches(wordFor(call), bytesOfHex(call.headers.find(passedOnField)));
+    return m_authenticator.matches(forwardedTagText(call), bytesOfHex(call.headers.find(forwardedField)));
 }
 
-VMEntry const* OnceGateway::entryOf(VMId id) const
+VMEntry const* OnceGateway::findDaemon(VMId id) const
 {
     auto const* entry = m_dependencies.vms.find(id);
     return entry && entry->role == VMRole::Entry ? entry : nullptr;
 }
 
-void OnceGateway::passOn(std::shared_ptr<Exchange> const& exchange, Endpoint const& holder, std::function<void()> unreachable)
+void OnceGateway::forwardToDaemon(std::shared_ptr<Exchange> const& exchange, Endpoint const& daemon, std::function<void()> onUnreachable)
 {
     ForwardPlan plan;
-    plan.upstream = holder;
+    plan.upstream = daemon;
     plan.call = exchange->call();
-    plan.call.headers.set(passedOnField, hexOfBytes(m_authenticator.tagOf(wordFor(exchange->call()))));
+    plan.call.headers.set(forwardedField, hexOfBytes(m_authenticator.tagOf(forwardedTagText(exchange->call()))));
     plan.answerTimeout = answerTimeout;
     plan.freshConnection = true;
     m_dependencies.metrics.count("stagepost_passed_on_total");
-    exchange->forward(std::move(plan), [this, exchange, alive = std::weak_ptr(m_alive), unreachable = std::move(unreachable)](ForwardResult const& result) {
+    exchange->forward(std::move(plan), [this, exchange, alive = std::weak_ptr(m_alive), onUnreachable = std::move(onUnreachable)](ForwardResult const& result) {
         if (alive.expired() || !result.failure || result.answerStarted || exchange->isCallerGone())
             return;
         if (result.verdict == Verdict::NotRun)
-            unreachable();
+            onUnreachable();
         else
-            refuse(*exchange, { *result.failure, Verdict::MayHaveRun, "the daemon that decides on this request was lost", {} });
+            refuse(*exchange, { *result.failure, Verdict::MayHaveRun, "the connection to the daemon that decides on this request was lost", {} });
     });
 }
 
 void OnceGateway::serve(std::shared_ptr<Exchange> const& exchange, CallerRequest request)
 {
-    // A call of which running twice does harm; its answer is kept for a resend.
+    // The call must not run twice. Its answer is kept for a resend.
     request.isRepeatable = false;
     request.keepBytes = m_settings.answerKeepBytes;
     if (!request.ticket.empty())
@@ -177,27 +177,27 @@
 
 void OnceGateway::serveTicket(std::shared_ptr<Exchange> const& exchange, CallerRequest const& request)
 {
-    Refusal const gone { RefusalReason::TicketHolderGone, Verdict::MayHaveRun, "the daemon that handed the ticket out cannot be reached", {} };
-    auto const decision = m_tickets.use(request.ticket, request.organisation.id, fingerprintOf(exchange->call()));
+    Refusal const issuerUnreachable { RefusalReason::TicketHolderGone, Verdict::MayHaveRun, "the daemon that issued the ticket cannot be reached", {} };
+    auto const decision = m_ticketBook.use(request.ticket, request.organisation.id, requestFingerprint(exchange->call()));
     if (auto const* refusal = std::get_if<Refusal>(&decision)) {
         refuse(*exchange, *refusal);
-    } else if (auto const* known = std::get_if<TicketBook::Replay>(&decision)) {
-        replay(*exchange, known->answer);
-    } else if (auto const* elsewhere = std::get_if<TicketBook::HeldElsewhere>(&decision)) {
-        auto const* holder = entryOf(elsewhere->holder);
-        if (!holder || wasPassedOn(exchange->call()))
-            refuse(*exchange, gone);
+    } else if (auto const* replayed = std::get_if<TicketBook::Replay>(&decision)) {
+        replay(*exchange, replayed->answer);
+    } else if (auto const* heldElsewhere = std::get_if<TicketBook::HeldElsewhere>(&decision)) {
+        auto const* issuer = findDaemon(heldElsewhere->holder);
+        if (!issuer || wasForwardedByDaemon(exchange->call()))
+            refuse(*exchange, issuerUnreachable);
         else
-            passOn(exchange, holder->endpoint, [this, exchange, gone] { refuse(*exchange, gone); });
+            forwardToDaemon(exchange, issuer->endpoint, [this, exchange, issuerUnreachable] { refuse(*exchange, issuerUnreachable); });
     } else {
         auto const serial = std::get<TicketBook::MayRun>(decision).serial;
-        m_dependencies.run(exchange, request, [this, serial](RequestFlow::Ending const& ending) {
-            if (!ending.refusal)
-                m_tickets.done(serial, recordOf(ending.result));
-            else if (ending.refusal->verdict == Verdict::NotRun)
-                m_tickets.notRun(serial);
+        m_dependencies.run(exchange, request, [this, serial](RequestHandler::Outcome const& outcome) {
+            if (!outcome.refusal)
+                m_ticketBook.done(serial, toRecordedAnswer(outcome.result));
+            else if (outcome.refusal->verdict == Verdict::NotRun)
+                m_ticketBook.notRun(serial);
             else
-                m_tickets.inDoubt(serial);
+                m_ticketBook.inDoubt(serial);
         });
     }
 }
@@ -210,38 +210,38 @@
         return;
     }
     auto const shard = ClaimGate::shardOf(*key);
-    auto const decider = m_dependencies.view().coordinatorOf(mixHashes(hashOf("claims"), shard));
-    auto const* entry = decider && *decider != m_self ? entryOf(*decider) : nullptr;
-    if (!entry || wasPassedOn(exchange->call())) {
-        claimHere(exchange, request, *key);
+    auto const coordinator = m_dependencies.view().coordinatorOf(mixHashes(hashOf("claims"), shard));
+    auto const* entry = coordinator && *coordinator != m_self ? findDaemon(*coordinator) : nullptr;
+    if (!entry || wasForwardedByDaemon(exchange->call())) {
+        claimLocally(exchange, request, *key);
         return;
     }
-    // The log decides, so any daemon may claim when the usual one cannot be reached.
-    passOn(exchange, entry->endpoint, [this, exchange, request, key = *key] { claimHere(exchange, request, key); });
+    // The log decides between claims, so any daemon may claim if the coordinator cannot be reached.
+    forwardToDaemon(exchange, entry->endpoint, [this, exchange, request, key = *key] { claimLocally(exchange, request, key); });
 }
 
-void OnceGateway::claimHere(std::shared_ptr<Exchange> const& exchange, CallerRequest const& request, OnceKey const& key)
+void OnceGateway::claimLocally(std::shared_ptr<Exchange> const& exchange, CallerRequest const& request, OnceKey const& key)
 {
-    m_claims.claim(key, fingerprintOf(exchange->call()), m_dependencies.loop.now(), [this, exchange, request, key](ClaimGate::Decision const& decision) {
+    m_claimGate.claim(key, requestFingerprint(exchange->call()), m_dependencies.loop.now(), [this, exchange, request, key](ClaimGate::Decision const& decision) {
         if (auto const* refusal = std::get_if<Refusal>(&decision)) {
             refuse(*exchange, *refusal);
             return;
         }
-        if (auto const* known = std::get_if<ClaimGate::Replay>(&decision)) {
-            replay(*exchange, known->answer);
+        if (auto const* replayed = std::get_if<ClaimGate::Replay>(&decision)) {
+            replay(*exchange, replayed->answer);
             return;
         }
         auto const granted = std::get<ClaimGate::MayRun>(decision);
         auto running = request;
         if (running.pool.checksFences)
             running.upstreamCall.headers.set("Stagepost-Fence", std::to_string(granted.fence));
-        m_dependencies.run(exchange, std::move(running), [this, key, granted](RequestFlow::Ending const& ending) {
+        m_dependencies.run(exchange, std::move(running), [this, key, granted](RequestHandler::Outcome const& outcome) {
             auto const now = m_dependencies.loop.now();
-            if (!ending.refusal)
-                m_claims.done(key, granted.nonce, recordOf(ending.result), now);
-            else if (ending.refusal->verdict == Verdict::NotRun)
-                m_claims.abandon(key, granted.nonce, now);
-            // Otherwise the key stays held, and resends learn that it may have run.
+            if (!outcome.refusal)
+                m_claimGate.done(key, granted.nonce, toRecordedAnswer(outcome.result), now);
+            else if (outcome.refusal->verdict == Verdict::NotRun)
+                m_claimGate.abandon(key, granted.nonce, now);
+            // Otherwise the claim stays, and a resend is told that the request may have run.
         });
     });
 }
--- a/Services/stagepostd/OnceGateway.h
+++ b/Services/stagepostd/OnceGateway.h
@@ -11,18 +11,18 @@
 #include <LibRouting/RoutingView.h>
 #include <functional>
 #include <memory>
-#include <stagepostd/RequestFlow.h>
+#include <stagepostd/RequestHandler.h>
 #include <stagepostd/RequestReader.h>
 
 namespace Stagepost {
 
-// Requests that carry a ticket or an idempotency key: each is decided on by one
-// daemon, the ticket's holder or the one that its key's shard belongs to, and
-// passed on to it if need be.
+// Serves requests that carry a ticket or an idempotency key, so that each runs at most once. The
+// daemon that issued the ticket, or the coordinator of the key's shard, decides whether a request
+// may run. Other daemons forward the request to it.
 class OnceGateway {
 public:
-    // Runs a request as any other; the hook learns how it ended.
-    using RunHook = std::function<void(std::shared_ptr<Exchange> const&, CallerRequest, RequestFlow::Ended)>;
+    // Runs a request like one without ticket or key, and calls back with its outcome.
+    using RunHook = std::function<void(std::shared_ptr<Exchange> const&, CallerRequest, RequestHandler::FinishedCallback)>;
     using RefuseHook = std::function<HttpReply(Refusal const&)>;
 
     struct Dependencies {
@@ -38,33 +38,33 @@
 
     OnceGateway(Dependencies, std::string_view key, VMId self, Incarnation);
 
-    static bool isFor(CallerRequest const& request) { return !request.ticket.empty() || !request.idempotencyKey.empty(); }
+    static bool isResponsibleFor(CallerRequest const& request) { return !request.ticket.empty() || !request.idempotencyKey.empty(); }
     void serve(std::shared_ptr<Exchange> const&, CallerRequest);
 
-    // POST /v1/tickets?count=N gives {"tickets":["..."]}.
+    // Handles POST /v1/tickets?count=N. The reply is {"tickets":["..."]}.
     HttpReply issueTickets(HttpCall const&, OrganisationId);
 
-    void settingsChanged(OnceSettings const&);
-    void tick(Instant now) { m_claims.tick(now); }
+    void updateSettings(OnceSettings const&);
+    void tick(Instant now) { m_claimGate.tick(now); }
     void renderMetrics(Metrics&) const;
 
 private:
     void serveTicket(std::shared_ptr<Exchange> const&, CallerRequest const&);
     void serveKey(std::shared_ptr<Exchange> const&, CallerRequest const&);
-    void claimHere(std::shared_ptr<Exchange> const&, CallerRequest const&, OnceKey const&);
-    void passOn(std::shared_ptr<Exchange> const&, Endpoint const& holder, std::function<void()> unreachable);
+    void claimLocally(std::shared_ptr<Exchange> const&, CallerRequest const&, OnceKey const&);
+    void forwardToDaemon(std::shared_ptr<Exchange> const&, Endpoint const& daemon, std::function<void()> onUnreachable);
     void refuse(Exchange&, Refusal const&);
     void replay(Exchange&, RecordedAnswer const&);
-    bool wasPassedOn(HttpCall const&) const;
-    VMEntry const* entryOf(VMId) const;
+    bool wasForwardedByDaemon(HttpCall const&) const;
+    VMEntry const* findDaemon(VMId) const;
     ClaimGate::Hooks claimHooks();
 
     Dependencies m_dependencies;
     Authenticator m_authenticator;
     VMId m_self;
     OnceSettings m_settings;
-    TicketBook m_tickets;
-    ClaimGate m_claims;
+    TicketBook m_ticketBook;
+    ClaimGate m_claimGate;
     std::shared_ptr<bool> m_alive { std::make_shared<bool>(true) };
 };
 
