--- a/Services/stagepostd/SettingsFollower.cpp
+++ b/Services/stagepostd/SettingsFollower.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-    constexpr Milliseconds longestWait { 5000 };
-    constexpr Milliseconds leastInterval { 100 };
-    constexpr Milliseconds failurePause { 500 };
-    constexpr size_t batchSize = 64;
-    // Settings are repeated after about this part of the log's retention.
-    constexpr int64_t snapshotShare = 8;
-    // After the log has lost its last records, all daemons repeat the settings within this
-    // time, unless they see that another one has.
-    constexpr int64_t longestUntilRepeat = 2000000;
+    constexpr Milliseconds maxReadWait { 5000 };
+    constexpr Milliseconds minReadInterval { 100 };
+    constexpr Milliseconds retryDelay { 500 };
+    constexpr size_t maxRecordsPerRead = 64;
+    // A snapshot is appended about this many times within the log's retention.
+    constexpr int64_t snapshotsPerRetention = 8;
+    // After a restore of the log, which loses its last records, each daemon appends a snapshot
+    // within this time, unless it reads another daemon's snapshot first.
+    constexpr Microseconds maxSnapshotDelayAfterRestore { 2000000 };
 
     Result<FleetSettings> settingsFrom(std::string const& toml)
     {
@@ -29,11 +29,11 @@
     return settingsFrom(toml).has_value();
 }
 
-SettingsFollower::SettingsFollower(EventLoop& loop, LogClient log, RandomHook random, Applied applied)
+SettingsFollower::SettingsFollower(EventLoop& loop, LogClient log, RandomHook random, AppliedCallback applied)
     : m_loop(loop)
     , m_log(std::move(log))
     , m_random(std::move(random))
-    , m_appliedHook(std::move(applied))
+    , m_appliedCallback(std::move(applied))
     , m_reader(areValidSettings)
     , m_timer(loop)
 {
@@ -46,40 +46,41 @@
 
 void SettingsFollower::read()
 {
-    m_log.read(settingsStream, m_reader.position(), batchSize, longestWait, [this, alive = std::weak_ptr(m_alive)](Result<LogBatch> const& batch) {
+    m_log.read(settingsStream, m_reader.position(), maxRecordsPerRead, maxReadWait, [this, alive = std::weak_ptr(m_alive)](Result<LogBatch> const& batch) {
         if (!alive.expired())
-            take(batch);
+            handleReadResult(batch);
     });
 }
 
-void SettingsFollower::take(Result<LogBatch> const& batch)
+void SettingsFollower::handleReadResult(Result<LogBatch> const& batch)
 {
     m_isLogReachable = batch.has_value();
     if (batch)
-        takeBatch(*batch);
+        handleBatch(*batch);
     else
         logEvent(LogLevel::Warning, "log-unavailable", { { "stream", settingsStream }, { "detail", batch.error().message() } });
-    m_timer.once(batch ? leastInterval : failurePause, [this] { read(); });
+    m_timer.once(batch ? minReadInterval : retryDelay, [this] { read(); });
 }
 
-// Offsets have been given out again, so what was read stands elsewhere or not at all.
-void SettingsFollower::noteReturn(LogBatch const& batch)
+// The log assigns offsets again that it has assigned before the restore, so records that were read
+// may now be at other offsets or missing.
+void SettingsFollower::handleLogRestore(LogBatch const& batch)
 {
     logEvent(LogLevel::Warning, "log-returned", { { "stream", settingsStream }, { "returns", batch.returns }, { "next", batch.next.value() }, { "known_before", m_reader.position().value() } });
     m_reader.readAgainFrom(batch.first);
-    m_standsSince = m_loop.now();
-    m_snapshotAfter = Microseconds(static_cast<int64_t>(m_random() % static_cast<uint64_t>(longestUntilRepeat)));
+    m_snapshotDelayStart = m_loop.now();
+    m_snapshotDelay = Microseconds(static_cast<int64_t>(m_random() % static_cast<uint64_t>(maxSnapshotDelayAfterRestore.count())));
 }
 
-void SettingsFollower::takeBatch(LogBatch const& batch)
+void SettingsFollower::handleBatch(LogBatch const& batch)
 {
-    // An answer from before the return, which comes late, tells of a log that is gone.
-    if (m_returns && batch.returns < *m_returns)
+    // A late response from before the restore is outdated.
+    if (m_logRestoreCount && batch.returns < *m_logRestoreCount)
         return;
-    bool const isAfterReturn = m_returns && batch.returns > *m_returns;
-    m_returns = batch.returns;
-    if (isAfterReturn) {
-        noteReturn(batch);
+    bool const isAfterRestore = m_logRestoreCount && batch.returns > *m_logRestoreCount;
+    m_logRestoreCount = batch.returns;
+    if (isAfterRestore) {
+        handleLogRestore(batch);
         return;
     }
     if (batch.first > m_reader.position())
@@ -87,36 +88,37 @@
     if (batch.first.isNull() && m_reader.position().isNull())
         m_reader.startAtBeginning();
     for (auto const& record : batch.records) {
-        // A peer's settings may have moved the position on while this was read.
+        // Settings adopted from a peer during the read may have advanced the position.
         if (record.offset != m_reader.position())
             continue;
         m_reader.take(record.offset, record.body);
         auto const publication = Publication::fromRecord(record.body);
         bool const isSnapshot = publication && publication->kind == Publication::Kind::Snapshot;
         if (isSnapshot && m_reader.accepted() && publication->revision == m_reader.accepted()->revision)
-            noteStanding();
+            restartSnapshotDelay();
     }
     applyAccepted();
-    snapshotIfDue();
+    appendSnapshotIfDue();
 }
 
-// Each daemon waits for another time, so that one of them repeats the settings
-// and the others see it.
-void SettingsFollower::noteStanding()
+// Each daemon waits for a different random time. The first one appends a snapshot, and the others
+// read it and start to wait again.
+void SettingsFollower::restartSnapshotDelay()
 {
     auto const retention = m_settings ? m_settings->once.logRetention : Seconds(86400);
-    auto const share = std::chrono::duration_cast<Microseconds>(retention) / snapshotShare;
-    m_standsSince = m_loop.now();
-    m_snapshotAfter = share / 2 + Microseconds(static_cast<int64_t>(m_random() % static_cast<uint64_t>(share.count())));
+    auto const meanDelay = std::chrono::duration_cast<Microseconds>(retention) / snapshotsPerRetention;
+    m_snapshotDelayStart = m_loop.now();
+    m_snapshotDelay = meanDelay / 2 + Microseconds(static_cast<int64_t>(m_random() % static_cast<uint64_t>(meanDelay.count())));
 }
 
-// Repeats what is in force before the log forgets it. A second copy does no harm.
-void SettingsFollower::snapshotIfDue()
+// Appends a snapshot of the settings in force before the log discards the record that
+// contains them. Duplicate snapshots are harmless.
+void SettingsFollower::appendSnapshotIfDue()
 {
     auto const& accepted = m_reader.accepted();
-    if (!accepted || accepted->revision.isNull() || m_loop.now() - m_standsSince < m_snapshotAfter)
+    if (!accepted || accepted->revision.isNull() || m_loop.now() - m_snapshotDelayStart < m_snapshotDelay)
         return;
-    noteStanding();
+    restartSnapshotDelay();
     Publication snapshot;
     snapshot.kind = Publication::Kind::Snapshot;
     snapshot.revision = accepted->revision;
@@ -152,9 +154,9 @@
         return;
     m_applied = *accepted;
     m_settings = std::make_shared<FleetSettings const>(std::move(*settings));
-    noteStanding();
+    restartSnapshotDelay();
     logEvent(LogLevel::Info, "settings-applied", { { "revision", m_applied.revision.value() }, { "author", m_applied.author } });
-    m_appliedHook();
+    m_appliedCallback();
 }
 
 }
--- a/Services/stagepostd/SettingsFollower.h
+++ b/Services/stagepostd/SettingsFollower.h
@@ -10,19 +10,19 @@
 
 namespace Stagepost {
 
-// Keeps the accepted settings, from the log or from a peer. What has been
-// applied never goes back to a lower revision.
+// Follows the accepted settings in the log, or from a peer that knows a newer revision. The
+// applied revision never decreases.
 class SettingsFollower {
 public:
-    using Applied = std::function<void()>;
+    using AppliedCallback = std::function<void()>;
 
-    SettingsFollower(EventLoop&, LogClient, RandomHook, Applied);
+    SettingsFollower(EventLoop&, LogClient, RandomHook, AppliedCallback);
     void start();
 
-    // Takes settings that a peer has accepted. Returns whether they were newer.
+    // Applies settings that a peer has accepted. Returns whether they were valid and newer.
     bool adopt(AcceptedSettings const&);
 
-    // Null until some are known.
+    // Null until the first settings are applied.
     std::shared_ptr<FleetSettings const> settings() const { return m_settings; }
     AcceptedSettings const& applied() const { return m_applied; }
     Revision revision() const { return m_applied.revision; }
@@ -30,31 +30,32 @@
 
 private:
     void read();
-    void take(Result<LogBatch> const&);
-    void takeBatch(LogBatch const&);
-    void noteReturn(LogBatch const&);
+    void handleReadResult(Result<LogBatch> const&);
+    void handleBatch(LogBatch const&);
+    void handleLogRestore(LogBatch const&);
     void applyAccepted();
-    void snapshotIfDue();
-    void noteStanding();
+    void appendSnapshotIfDue();
+    void restartSnapshotDelay();
 
     EventLoop& m_loop;
     LogClient m_log;
     RandomHook m_random;
-    Applied m_appliedHook;
+    AppliedCallback m_appliedCallback;
     PublicationReader m_reader;
     AcceptedSettings m_applied;
     std::shared_ptr<FleetSettings const> m_settings;
     Timer m_timer;
-    // When the log was last seen to hold what is in force, and how long that lasts.
-    Instant m_standsSince;
-    Microseconds m_snapshotAfter {};
-    // How often the log has come back from a copy, as far as is known.
-    std::optional<uint64_t> m_returns;
+    // The wait before this daemon appends a snapshot of the settings in force. It starts again
+    // when the log is seen to contain them.
+    Instant m_snapshotDelayStart;
+    Microseconds m_snapshotDelay {};
+    // The number of times that the log was restored from a copy. Unset until the first read.
+    std::optional<uint64_t> m_logRestoreCount;
     bool m_isLogReachable { false };
     std::shared_ptr<bool> m_alive { std::make_shared<bool>(true) };
 };
 
-// Whether a text is a tree that this daemon can serve from.
+// Whether the text is a complete and valid configuration.
 bool areValidSettings(std::string const& toml);
 
 }
--- a/Services/stagepostd/SettingsPolicies.cpp
+++ b/Services/stagepostd/SettingsPolicies.cpp
@@ -49,7 +49,7 @@
     auto const found = settings->organisations.find(id);
     if (found == settings->organisations.end())
         return {};
-    // Keeps the settings alive that hold it.
+    // Shares ownership of the settings that contain the organisation.
     return { settings, &found->second };
 }
 
--- a/Services/stagepostd/SettingsPolicies.h
+++ b/Services/stagepostd/SettingsPolicies.h
@@ -6,8 +6,8 @@
 
 namespace Stagepost {
 
-// What the settings in force say to the routing decisions, in their terms. Pools
-// and organisations that the settings do not name get defaults.
+// Converts the settings in force into the policies and limits of LibRouting. Pools and
+// organisations that the settings do not name get defaults.
 class SettingsPolicies {
 public:
     explicit SettingsPolicies(SettingsFollower const& settings)
@@ -15,16 +15,16 @@
     {
     }
 
-    // The settings in force; null before the first.
+    // The settings in force, or null until the first are applied.
     std::shared_ptr<FleetSettings const> settings() const { return m_settings.settings(); }
 
     PoolPolicy pool(PoolId) const;
-    // This daemon's part of what the organisation may use of the whole fleet.
+    // This daemon's part of the limits that an organisation has for the whole fleet.
     OrganisationLimits limits(OrganisationId, double shareOfFleet) const;
     double weight(OrganisationId) const;
 
 private:
-    // Null for one that the settings do not name.
+    // Null if the settings do not name the organisation.
     std::shared_ptr<OrganisationSettings const> organisation(OrganisationId) const;
 
     SettingsFollower const& m_settings;
