--- a/Services/stagepostd/RefusalReply.h
+++ b/Services/stagepostd/RefusalReply.h
@@ -5,8 +5,8 @@
 
 namespace Stagepost {
 
-// The answer that tells a caller why its request was refused, whether it may
-// have run, and when asking again makes sense:
+// Makes the response for a refused request. It gives the reason, whether the request may have run,
+// and when to retry:
 //   {"error":{"reason":"queue-full","verdict":"not-run","message":"...","retry_after_ms":250}}
 HttpReply refusalReply(Refusal const&);
 
--- a/Services/stagepostd/RequestReader.cpp
+++ b/Services/stagepostd/RequestReader.cpp
@@ -15,34 +15,34 @@
     constexpr std::string_view chatPath = "/v1/chat/completions";
     constexpr std::string_view servicePrefix = "/services/";
     constexpr std::string_view bearerPrefix = "Bearer ";
-    // RFC 9218: u=3 is the usual urgency, lower numbers come first.
-    constexpr int usualUrgency = 3;
-    constexpr size_t bytesPerToken = 4;
-    constexpr size_t longestKey = 255;
+    // RFC 9218: the default urgency is u=3, and lower numbers are more urgent.
+    constexpr int defaultUrgency = 3;
+    constexpr size_t estimatedBytesPerToken = 4;
+    constexpr size_t maxIdempotencyKeyLength = 255;
 
     Refusal refuse(RefusalReason reason, std::string detail)
     {
         return { reason, Verdict::NotRun, std::move(detail), {} };
     }
 
-    int urgencyOf(std::string_view priority)
+    int parseUrgency(std::string_view priority)
     {
         auto const found = priority.find("u=");
         if (found == std::string_view::npos || found + 2 >= priority.size())
-            return usualUrgency;
+            return defaultUrgency;
         char const digit = priority[found + 2];
-        return digit >= '0' && digit <= '7' ? digit - '0' : usualUrgency;
+        return digit >= '0' && digit <= '7' ? digit - '0' : defaultUrgency;
     }
 
-    std::optional<UpstreamId> hintOf(std::string_view text)
+    std::optional<UpstreamId> parseHint(std::string_view text)
     {
         auto const number = numberOfHex(text);
         return number ? std::optional(UpstreamId(*number)) : std::nullopt;
     }
 
-    // Without a chat id of its own, a chat is known by how it began: its first
-    // messages up to and including the first of the user.
-    std::string beginningOf(Json const& messages)
+    // Identifies a chat that has no id by a hash of its messages up to and including the first of
+    // the user, which later requests of the chat repeat.
+    std::string hashOfFirstMessages(Json const& messages)
     {
         uint64_t hash = 0;
         for (auto const& message : messages) {
@@ -53,12 +53,12 @@
         return hexOf(hash);
     }
 
-    uint32_t earlierTokens(Json const& messages)
+    uint32_t estimateContextTokens(Json const& messages)
     {
         size_t bytes = 0;
         for (size_t index = 0; index + 1 < messages.size(); ++index)
             bytes += messages[index].dump(-1, ' ', false, Json::error_handler_t::replace).size();
-        return static_cast<uint32_t>(bytes / bytesPerToken);
+        return static_cast<uint32_t>(bytes / estimatedBytesPerToken);
     }
 
     std::optional<Refusal> readDeadline(HttpCall const& call, CallerRequest& request, Instant now)
@@ -70,31 +70,31 @@
         int64_t value = 0;
         auto const [end, code] = std::from_chars(text.data(), text.data() + text.size(), value);
         if (code != std::errc() || end != text.data() + text.size() || value <= 0)
-            return refuse(RefusalReason::BadRequest, "Stagepost-Deadline-Ms is not a number of milliseconds above 0");
+            return refuse(RefusalReason::BadRequest, "Stagepost-Deadline-Ms must be a positive number of milliseconds");
         request.placement.deadline = now + Milliseconds(value);
         return {};
     }
 
-    std::optional<Refusal> readCommon(HttpCall const& call, CallerRequest& request, Instant now)
+    std::optional<Refusal> readCommonHeaders(HttpCall const& call, CallerRequest& request, Instant now)
     {
         request.idempotencyKey = call.headers.find("Idempotency-Key");
         request.ticket = call.headers.find("Stagepost-Ticket");
-        if (request.idempotencyKey.size() > longestKey)
+        if (request.idempotencyKey.size() > maxIdempotencyKeyLength)
             return refuse(RefusalReason::BadRequest, "Idempotency-Key is longer than 255 characters");
         if (!request.idempotencyKey.empty() && !request.ticket.empty())
-            return refuse(RefusalReason::BadRequest, "a request carries an Idempotency-Key or a Stagepost-Ticket, not both");
+            return refuse(RefusalReason::BadRequest, "a request must not have both an Idempotency-Key and a Stagepost-Ticket");
         if (auto refusal = readDeadline(call, request, now))
             return refusal;
-        auto const urgency = urgencyOf(call.headers.find("Priority"));
-        bool const isUrgent = urgency < usualUrgency && request.organisation.urgent;
+        auto const urgency = parseUrgency(call.headers.find("Priority"));
+        bool const isUrgent = urgency < defaultUrgency && request.organisation.urgent;
         request.placement.priority = isUrgent ? Priority::Urgent : Priority::Bulk;
         request.placement.organisation = request.organisation.id;
         request.placement.pool = request.pool.id;
-        request.placement.hint = hintOf(call.headers.find("Stagepost-Hint"));
+        request.placement.hint = parseHint(call.headers.find("Stagepost-Hint"));
         return {};
     }
 
-    // What goes on to the upstream. The caller's token stays here.
+    // Builds the request for the upstream. The caller's token is removed.
     void buildUpstreamCall(HttpCall const& call, std::string target, CallerRequest& request)
     {
         request.upstreamCall = call;
@@ -111,12 +111,12 @@
     std::variant<CallerRequest, Refusal> readChat(HttpCall const& call, FleetSettings const& settings, CallerRequest request, Instant now)
     {
         if (call.method != "POST")
-            return refuse(RefusalReason::BadRequest, "a chat completion is a POST");
+            return refuse(RefusalReason::BadRequest, "chat completions must use the POST method");
         auto const body = Json::parse(call.body, nullptr, false);
         if (!body.is_object())
             return refuse(RefusalReason::BadJson, "the body is not a JSON object");
         if (!body.contains("model") || !body["model"].is_string() || !body.contains("messages") || !body["messages"].is_array())
-            return refuse(RefusalReason::BadJson, "the body has no text 'model' or no list 'messages'");
+            return refuse(RefusalReason::BadJson, "the body must have a string 'model' and an array 'messages'");
         auto const pool = settings.poolByModel.find(body["model"].get<std::string>());
         if (pool == settings.poolByModel.end())
             return refuse(RefusalReason::NoSuchModel, "no pool serves this model");
@@ -124,10 +124,10 @@
         request.isChat = true;
         request.isRepeatable = true;
         auto const& messages = body["messages"];
-        std::string const named(call.headers.find("Stagepost-Chat"));
-        request.placement.chat = chatIdOf(named.empty() ? beginningOf(messages) : named, request.organisation.id, request.pool.id);
-        request.placement.contextTokens = earlierTokens(messages);
-        if (auto refusal = readCommon(call, request, now))
+        std::string const chatName(call.headers.find("Stagepost-Chat"));
+        request.placement.chat = chatIdOf(chatName.empty() ? hashOfFirstMessages(messages) : chatName, request.organisation.id, request.pool.id);
+        request.placement.contextTokens = estimateContextTokens(messages);
+        if (auto refusal = readCommonHeaders(call, request, now))
             return *refusal;
         buildUpstreamCall(call, call.target, request);
         return request;
@@ -143,9 +143,9 @@
             return refuse(RefusalReason::NoSuchService, "no such service");
         request.pool = pool->second;
         request.isRepeatable = call.method == "GET" || call.method == "HEAD";
-        // Plain services keep no context, so their calls are spread evenly.
+        // Upstreams of a service keep no context, so each call gets its own chat id, which spreads the calls evenly.
         request.placement.chat = ChatId(mixHashes(static_cast<uint64_t>(now.time_since_epoch().count()), hashOf(call.target)));
-        if (auto refusal = readCommon(call, request, now))
+        if (auto refusal = readCommonHeaders(call, request, now))
             return *refusal;
         std::string target(rest.substr(nameEnd));
         if (target.empty() || target.front() != '/')
@@ -168,7 +168,7 @@
         return refuse(RefusalReason::MissingToken, "the request has no bearer token");
     auto const found = settings.organisationByTokenHash.find(hashOfToken(field.substr(bearerPrefix.size())));
     if (found == settings.organisationByTokenHash.end())
-        return refuse(RefusalReason::WrongToken, "the bearer token is of no organisation");
+        return refuse(RefusalReason::WrongToken, "the bearer token belongs to no organisation");
     return settings.organisations.at(found->second);
 }
 
@@ -176,7 +176,7 @@
 {
     bool const isChat = call.path() == chatPath;
     if (!isChat && !call.target.starts_with(servicePrefix))
-        return refuse(RefusalReason::NoSuchPath, "paths are /v1/chat/completions and /services/NAME/...");
+        return refuse(RefusalReason::NoSuchPath, "the path must be /v1/chat/completions or /services/NAME/...");
     auto organisation = authenticate(call, settings);
     if (auto* refusal = std::get_if<Refusal>(&organisation))
         return *refusal;
--- a/Services/stagepostd/RequestReader.h
+++ b/Services/stagepostd/RequestReader.h
@@ -9,29 +9,30 @@
 
 namespace Stagepost {
 
-// A caller's request, understood and checked.
+// A caller's request, parsed and validated.
 struct CallerRequest {
     PlacementRequest placement;
     OrganisationSettings organisation;
     PoolSettings pool;
-    // What goes to the upstream.
+    // The request as it is sent to the upstream.
     HttpCall upstreamCall;
     bool isChat { false };
-    // Running it twice does no harm.
+    // Whether the request may run twice.
     bool isRepeatable { false };
     std::string idempotencyKey;
     std::string ticket;
-    // How much of the answer to keep for a resend.
+    // How many bytes of the answer to keep for a resend.
     size_t keepBytes { 0 };
 };
 
-// Reads a request to /v1/chat/completions or /services/NAME/... by the settings.
+// Parses a request to /v1/chat/completions or /services/NAME/... and looks up its organisation and
+// its pool in the settings.
 std::variant<CallerRequest, Refusal> readRequest(HttpCall const&, FleetSettings const&, Instant now);
 
-// The chat that a caller names, told apart from other organisations' chats of that name.
+// The id of a chat. Chats of the same name in different organisations or pools have different ids.
 ChatId chatIdOf(std::string_view name, OrganisationId, PoolId);
 
-// The organisation of the call's bearer token.
+// Returns the organisation that the call's bearer token belongs to.
 std::variant<OrganisationSettings, Refusal> authenticate(HttpCall const&, FleetSettings const&);
 
 }
