--- a/Services/stagepostd/PeerChannel.cpp
+++ b/Services/stagepostd/PeerChannel.cpp
@@ -19,7 +19,7 @@
     : m_authenticator(authenticator)
     , m_metrics(metrics)
     , m_receiver(std::move(receiver))
-    , m_socket(loop, [this](Endpoint const& source, std::string_view bytes) { take(source, bytes); })
+    , m_socket(loop, [this](Endpoint const& source, std::string_view bytes) { handleDatagram(source, bytes); })
 {
 }
 
@@ -30,7 +30,7 @@
     m_socket.send(to, m_authenticator.seal(message));
 }
 
-void PeerChannel::take(Endpoint const& source, std::string_view sealed)
+void PeerChannel::handleDatagram(Endpoint const& source, std::string_view sealed)
 {
     auto const opened = m_authenticator.open(sealed);
     if (!opened) {
--- a/Services/stagepostd/PeerChannel.h
+++ b/Services/stagepostd/PeerChannel.h
@@ -8,7 +8,7 @@
 
 namespace Stagepost {
 
-// What kind of message a datagram between daemons holds.
+// The kind of message in a datagram between daemons.
 enum class PeerMessageKind : unsigned char {
     Membership = 'm',
     Routing = 'r',
@@ -18,8 +18,8 @@
     Holders = 'h',
 };
 
-// Sends and receives sealed datagrams; forged, damaged and replayed ones are
-// dropped and counted.
+// Sends and receives authenticated datagrams. Forged, malformed and replayed datagrams are dropped
+// and counted.
 class PeerChannel {
 public:
     using Receiver = std::function<void(PeerMessageKind, VMId from, Endpoint const& source, std::string_view body)>;
@@ -32,7 +32,7 @@
     DatagramSocket const& socket() const { return m_socket; }
 
 private:
-    void take(Endpoint const& source, std::string_view sealed);
+    void handleDatagram(Endpoint const& source, std::string_view sealed);
 
     Authenticator& m_authenticator;
     Metrics& m_metrics;
--- a/Services/stagepostd/PeerSettings.cpp
+++ b/Services/stagepostd/PeerSettings.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-    constexpr char const* peerField = "Stagepost-Peer";
-    constexpr char const* requestWord = "settings";
-    constexpr Milliseconds callTimeout { 1000 };
+    constexpr char const* peerHeader = "Stagepost-Peer";
+    constexpr char const* requestText = "settings";
+    constexpr Milliseconds fetchTimeout { 1000 };
     constexpr unsigned statusForbidden = 403;
     constexpr unsigned statusNotFound = 404;
 
@@ -42,7 +42,7 @@
 
 }
 
-// The key differs from that of the datagrams, whose sequence numbers run apart.
+// The key differs from that of the datagrams, since the two have separate sequence numbers.
 PeerSettings::PeerSettings(EventLoop& loop, HttpClient& client, std::string_view key, VMId self, Incarnation incarnation, SettingsFollower& settings)
     : m_loop(loop)
     , m_client(client)
@@ -51,19 +51,19 @@
 {
 }
 
-void PeerSettings::revisionSeen(Endpoint const& peer, Revision revision)
+void PeerSettings::fetchIfNewer(Endpoint const& peer, Revision revision)
 {
     if (m_isFetching || revision <= m_settings.revision())
         return;
     m_isFetching = true;
-    HttpCall call { "GET", path, { { peerField, hexOfBytes(m_authenticator.seal(requestWord)) } }, {} };
-    m_client.fetch(peer, std::move(call), callTimeout, [this, alive = std::weak_ptr(m_alive)](Result<HttpReply> const& reply) {
+    HttpCall call { "GET", path, { { peerHeader, hexOfBytes(m_authenticator.seal(requestText)) } }, {} };
+    m_client.fetch(peer, std::move(call), fetchTimeout, [this, alive = std::weak_ptr(m_alive)](Result<HttpReply> const& reply) {
         if (!alive.expired())
-            take(reply);
+            handleReply(reply);
     });
 }
 
-void PeerSettings::take(Result<HttpReply> const& reply)
+void PeerSettings::handleReply(Result<HttpReply> const& reply)
 {
     m_isFetching = false;
     if (!reply || reply->status != 200)
@@ -77,13 +77,13 @@
         m_settings.adopt(*settings);
 }
 
-HttpReply PeerSettings::answer(HttpCall const& call)
+HttpReply PeerSettings::handleRequest(HttpCall const& call)
 {
-    auto const opened = m_authenticator.open(bytesOfHex(call.headers.find(peerField)));
-    if (!opened || opened->body != requestWord)
-        return textReply(statusForbidden, "for daemons of this fleet only\n");
+    auto const opened = m_authenticator.open(bytesOfHex(call.headers.find(peerHeader)));
+    if (!opened || opened->body != requestText)
+        return textReply(statusForbidden, "only daemons of this fleet may read the settings\n");
     if (!m_settings.settings())
-        return textReply(statusNotFound, "no settings yet\n");
+        return textReply(statusNotFound, "this daemon has not received any settings yet\n");
     return { 200, { { "Content-Type", "application/octet-stream" } }, m_authenticator.seal(encode(m_settings.applied())) };
 }
 
--- a/Services/stagepostd/PeerSettings.h
+++ b/Services/stagepostd/PeerSettings.h
@@ -8,21 +8,21 @@
 
 namespace Stagepost {
 
-// Gets the accepted settings from another daemon, and gives them to others:
-//   GET /internal/settings, with a sealed word in the Stagepost-Peer field
-// The answer is sealed as well, so neither side takes a stranger's word.
+// Fetches the accepted settings from other daemons, and serves them to other daemons:
+//   GET /internal/settings, with an authenticated text in the Stagepost-Peer header
+// The response is authenticated as well, so that only daemons of the fleet exchange settings.
 class PeerSettings {
 public:
     static constexpr char const* path = "/internal/settings";
 
     PeerSettings(EventLoop&, HttpClient&, std::string_view key, VMId self, Incarnation, SettingsFollower&);
 
-    // A daemon says that it serves from a revision; fetches it if it is newer.
-    void revisionSeen(Endpoint const& peer, Revision);
-    HttpReply answer(HttpCall const&);
+    // Fetches the settings of a peer if their revision is newer than the applied one.
+    void fetchIfNewer(Endpoint const& peer, Revision);
+    HttpReply handleRequest(HttpCall const&);
 
 private:
-    void take(Result<HttpReply> const&);
+    void handleReply(Result<HttpReply> const&);
 
     EventLoop& m_loop;
     HttpClient& m_client;
