--- a/Services/stagepostd/FleetView.cpp
+++ b/Services/stagepostd/FleetView.cpp
@@ -13,8 +13,8 @@
             return false;
         if (entry.role == VMRole::Entry)
             return membership.stateOf(entry.id()) != MemberState::Dead;
-        auto const* news = membership.lastUpstreamUpdate(entry.upstreamId());
-        return !news || news->state != UpstreamState::Gone;
+        auto const* update = membership.lastUpstreamUpdate(entry.upstreamId());
+        return !update || update->state != UpstreamState::Gone;
     }
 
     bool isLeaving(VMEntry const& entry, Membership const& membership)
@@ -23,8 +23,8 @@
             return true;
         if (entry.role == VMRole::Entry)
             return membership.stateOf(entry.id()) == MemberState::Leaving;
-        auto const* news = membership.lastUpstreamUpdate(entry.upstreamId());
-        return news && news->state == UpstreamState::Leaving;
+        auto const* update = membership.lastUpstreamUpdate(entry.upstreamId());
+        return update && update->state == UpstreamState::Leaving;
     }
 
 }
@@ -39,36 +39,36 @@
 {
     auto const region = regionOf(hall);
     std::vector<UpstreamView> upstreams;
-    std::vector<UpstreamView> elsewhere;
+    std::vector<UpstreamView> otherUpstreams;
     std::set<PoolId> ownPools;
     std::vector<DaemonView> daemons;
     for (auto const& [id, entry] : list.entries()) {
         if (id == self || !isRoutable(entry, membership, now))
             continue;
-        bool const leaving = isLeaving(entry, membership);
+        bool const isVMLeaving = isLeaving(entry, membership);
         bool const isOwnRegion = regionOf(entry.hall) == region;
         if (entry.role == VMRole::Upstream) {
-            UpstreamView const view { entry.upstreamId(), entry.poolId(), entry.hallId(), leaving, 1 };
-            (isOwnRegion ? upstreams : elsewhere).push_back(view);
+            UpstreamView const view { entry.upstreamId(), entry.poolId(), entry.hallId(), isVMLeaving, 1 };
+            (isOwnRegion ? upstreams : otherUpstreams).push_back(view);
             if (isOwnRegion)
                 ownPools.insert(view.pool);
         } else if (isOwnRegion) {
-            daemons.push_back({ id, entry.hallId(), leaving });
+            daemons.push_back({ id, entry.hallId(), isVMLeaving });
         }
     }
-    std::copy_if(elsewhere.begin(), elsewhere.end(), std::back_inserter(upstreams), [&](auto const& view) { return !ownPools.contains(view.pool); });
+    std::copy_if(otherUpstreams.begin(), otherUpstreams.end(), std::back_inserter(upstreams), [&](auto const& view) { return !ownPools.contains(view.pool); });
     daemons.push_back({ self, HallId::fromName(hall), membership.stateOf(self) == MemberState::Leaving });
     return { self, HallId::fromName(hall), std::move(upstreams), std::move(daemons) };
 }
 
 double shareOfFleet(VMList const& list, RoutingView const& view)
 {
-    auto const listed = std::count_if(list.entries().begin(), list.entries().end(), [](auto const& entry) {
+    auto const listedCount = std::count_if(list.entries().begin(), list.entries().end(), [](auto const& entry) {
         return entry.second.role == VMRole::Entry && entry.second.state == VMState::Live;
     });
-    if (listed == 0)
+    if (listedCount == 0)
         return 1;
-    return std::min(1.0, static_cast<double>(view.daemons().size()) / static_cast<double>(listed));
+    return std::min(1.0, static_cast<double>(view.daemons().size()) / static_cast<double>(listedCount));
 }
 
 }
--- a/Services/stagepostd/FleetView.h
+++ b/Services/stagepostd/FleetView.h
@@ -7,17 +7,17 @@
 
 namespace Stagepost {
 
-// The region of a hall: what stands before the slash in "east/hall-2"; halls
-// without one are all in the same region.
+// Returns the region of a hall, the part before the slash in "east/hall-2". All halls without a
+// slash are in the same region.
 std::string_view regionOf(std::string_view hall);
 
-// Joins the platform's list, which lags, with what the daemons know of each
-// other, which goes before it. Only the own region is routed to, but for pools
-// that it has no upstream for.
+// Makes the routing view from the platform's list of VMs, which lags behind, and the newer state that
+// the daemons exchange. Upstreams in other regions are included only for pools that have no upstream
+// in the own region.
 RoutingView makeRoutingView(VMList const&, Membership const&, VMId self, std::string_view hall, Instant now);
 
-// The share of the listed daemons that the view has; limits over the fleet are
-// cut to it, since each region shares its own part out.
+// The daemons in the view as a share of the live daemons in the list. Limits for the whole fleet are
+// scaled by it, since each region distributes its own part.
 double shareOfFleet(VMList const&, RoutingView const&);
 
 }
--- a/Services/stagepostd/ServerDrain.cpp
+++ b/Services/stagepostd/ServerDrain.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    constexpr Milliseconds drainPoll { 20 };
+    constexpr Milliseconds pollInterval { 20 };
 
 }
 
@@ -17,19 +17,19 @@
 {
 }
 
-void ServerDrain::start(Milliseconds accept, Instant limit, std::function<void()> drained)
+void ServerDrain::start(Milliseconds gracePeriod, Instant limit, std::function<void()> drained)
 {
-    m_timer.once(accept, [this, limit, drained = std::move(drained)] {
+    m_timer.once(gracePeriod, [this, limit, drained = std::move(drained)] {
         m_server.stopListening();
-        finish(limit, drained);
+        waitForOpenRequests(limit, drained);
     });
 }
 
-void ServerDrain::finish(Instant limit, std::function<void()> const& drained)
+void ServerDrain::waitForOpenRequests(Instant limit, std::function<void()> const& drained)
 {
-    bool const isOver = m_server.openExchanges() == 0 || m_loop.now() >= limit;
-    if (!isOver) {
-        m_timer.once(drainPoll, [this, limit, drained] { finish(limit, drained); });
+    bool const isFinished = m_server.openExchanges() == 0 || m_loop.now() >= limit;
+    if (!isFinished) {
+        m_timer.once(pollInterval, [this, limit, drained] { waitForOpenRequests(limit, drained); });
         return;
     }
     logEvent(LogLevel::Info, "drained", { { "cut_off", m_server.openExchanges() } });
--- a/Services/stagepostd/ServerDrain.h
+++ b/Services/stagepostd/ServerDrain.h
@@ -6,17 +6,17 @@
 
 namespace Stagepost {
 
-// Takes a server out of service: it goes on taking requests for a while, until the
-// balancer has noticed, then takes no more and finishes what runs.
+// Takes a server out of service. It accepts requests for a grace period, in which the load balancer
+// notices, then stops listening and finishes the open requests.
 class ServerDrain {
 public:
     ServerDrain(EventLoop&, HttpServer&);
 
-    // Calls back once nothing runs any more, or at the limit.
-    void start(Milliseconds accept, Instant limit, std::function<void()> drained);
+    // Calls back when no request is open after the grace period, or at the limit.
+    void start(Milliseconds gracePeriod, Instant limit, std::function<void()> drained);
 
 private:
-    void finish(Instant limit, std::function<void()> const& drained);
+    void waitForOpenRequests(Instant limit, std::function<void()> const& drained);
 
     EventLoop& m_loop;
     HttpServer& m_server;
--- a/Services/stagepostd/UpstreamWatcher.cpp
+++ b/Services/stagepostd/UpstreamWatcher.cpp
@@ -12,7 +12,7 @@
     constexpr Milliseconds callTimeout { 1000 };
     constexpr unsigned statusOk = 200;
 
-    std::optional<ChatId> chatOf(Json const& event)
+    std::optional<ChatId> parseChatId(Json const& event)
     {
         if (!event.is_object() || !event.contains("chat") || !event["chat"].is_string())
             return {};
@@ -20,7 +20,7 @@
         return number ? std::optional(ChatId(*number)) : std::nullopt;
     }
 
-    uint64_t numberOf(Json const& object, char const* key)
+    uint64_t numberOrZero(Json const& object, char const* key)
     {
         auto const found = object.find(key);
         return found != object.end() && found->is_number_unsigned() ? found->get<uint64_t>() : 0;
@@ -28,54 +28,54 @@
 
 }
 
-UpstreamWatcher::UpstreamWatcher(EventLoop& loop, HttpClient& client, AdmissionController& node, VMList const& list)
+UpstreamWatcher::UpstreamWatcher(EventLoop& loop, HttpClient& client, AdmissionController& admission, VMList const& list)
     : m_loop(loop)
     , m_client(client)
-    , m_node(node)
-    , m_list(list)
+    , m_admission(admission)
+    , m_vmList(list)
     , m_timer(loop)
 {
 }
 
 void UpstreamWatcher::start()
 {
-    m_timer.every(interval, [this] { askAll(); });
+    m_timer.every(pollInterval, [this] { pollAll(); });
 }
 
-void UpstreamWatcher::askAll()
+void UpstreamWatcher::pollAll()
 {
-    for (auto const& [id, entry] : m_list.entries()) {
-        if (entry.role == VMRole::Upstream && m_node.leaseServer().find(entry.upstreamId()))
-            ask(entry);
+    for (auto const& [id, entry] : m_vmList.entries()) {
+        if (entry.role == VMRole::Upstream && m_admission.leaseServer().find(entry.upstreamId()))
+            poll(entry);
     }
 }
 
-void UpstreamWatcher::ask(VMEntry const& entry)
+void UpstreamWatcher::poll(VMEntry const& entry)
 {
     auto const upstream = entry.upstreamId();
-    auto target = "/v1/status?events_from=" + std::to_string(m_nextEvent[upstream]);
+    auto target = "/v1/status?events_from=" + std::to_string(m_nextEventNumbers[upstream]);
     m_client.fetch(entry.endpoint, { "GET", std::move(target), {}, {} }, callTimeout,
         [this, upstream, alive = std::weak_ptr(m_alive)](Result<HttpReply> const& reply) {
             if (!alive.expired() && reply && reply->status == statusOk)
-                take(upstream, reply->body);
+                handleStatus(upstream, reply->body);
         });
 }
 
-void UpstreamWatcher::take(UpstreamId upstream, std::string const& body)
+void UpstreamWatcher::handleStatus(UpstreamId upstream, std::string const& body)
 {
-    auto* owner = m_node.leaseServer().find(upstream);
+    auto* owner = m_admission.leaseServer().find(upstream);
     auto const status = Json::parse(body, nullptr, false);
     if (!owner || !status.is_object())
         return;
-    owner->handleLoadReport(numberOf(status, "in_flight"), m_loop.now());
-    m_nextEvent[upstream] = numberOf(status, "events_next");
+    owner->handleLoadReport(numberOrZero(status, "in_flight"), m_loop.now());
+    m_nextEventNumbers[upstream] = numberOrZero(status, "events_next");
     auto const events = status.find("events");
     if (events == status.end() || !events->is_array())
         return;
     for (auto const& event : *events) {
-        auto const chat = chatOf(event);
+        auto const chat = parseChatId(event);
         if (chat && event.contains("kind"))
-            owner->handleCacheEvent(*chat, event["kind"] == "stored", static_cast<uint32_t>(numberOf(event, "tokens")));
+            owner->handleCacheEvent(*chat, event["kind"] == "stored", static_cast<uint32_t>(numberOrZero(event, "tokens")));
     }
 }
 
--- a/Services/stagepostd/VMListFollower.h
+++ b/Services/stagepostd/VMListFollower.h
@@ -7,24 +7,24 @@
 
 namespace Stagepost {
 
-// Keeps a copy of the platform's list of VMs. While the platform is out of
-// reach, what was known last stays.
+// Keeps a copy of the platform's list of VMs. While the platform is unreachable, the last known
+// list stays in use.
 class VMListFollower {
 public:
-    using Changed = std::function<void(std::vector<VMEntry> const&)>;
+    using ChangedCallback = std::function<void(std::vector<VMEntry> const&)>;
 
-    VMListFollower(EventLoop&, VMListClient, Changed);
+    VMListFollower(EventLoop&, VMListClient, ChangedCallback);
     void start();
 
     VMList const& list() const { return m_list; }
     bool hasList() const { return m_list.version() > 0; }
 
 private:
-    void ask();
-    void take(Result<std::string> const&);
+    void poll();
+    void handleResponse(Result<std::string> const&);
 
     VMListClient m_client;
-    Changed m_changed;
+    ChangedCallback m_changedCallback;
     VMList m_list;
     Timer m_timer;
     std::shared_ptr<bool> m_alive { std::make_shared<bool>(true) };
