--- a/Services/stagepostd/OperatorServer.cpp
+++ b/Services/stagepostd/OperatorServer.cpp
@@ -4,7 +4,7 @@
 
 namespace Stagepost {
 
-// The HTTP server brings the text of a request here and takes the response back.
+// Connects the JSON-RPC library to HttpServer, which receives the requests and sends the responses.
 class OperatorServer::Connector final : public jsonrpc::AbstractServerConnector {
 public:
     bool StartListening() override { return true; } // NOLINT(readability-identifier-naming)
--- a/Services/stagepostd/OperatorServer.h
+++ b/Services/stagepostd/OperatorServer.h
@@ -7,7 +7,7 @@
 
 namespace Stagepost {
 
-// What the operator's tool is told of one daemon.
+// The status of one daemon, for the operator's tool.
 struct DaemonStatus {
     std::string name;
     std::string hall;
@@ -22,12 +22,12 @@
     uint64_t queuedRequests { 0 };
 };
 
-// One upstream that a chat could go to, in the chat's order.
+// One candidate upstream of a chat.
 struct CandidateExplanation {
     std::string upstream;
     std::string hall;
     std::string owner;
-    // Known only to the owner itself.
+    // Only the owner knows the load, the cap and the contexts.
     bool isOwnedHere { false };
     uint64_t load { 0 };
     uint64_t cap { 0 };
@@ -37,11 +37,11 @@
 struct OperatorHooks {
     std::function<DaemonStatus()> status;
     std::function<void(bool draining)> setDraining;
-    // Where a chat of this model and id would go.
+    // Returns the chat's candidate upstreams in order of preference.
     std::function<std::vector<CandidateExplanation>(std::string const& model, std::string const& organisation, std::string const& chat)> explain;
 };
 
-// Answers the operator's tool over JSON-RPC 2.0: status, drain, undrain, explain.
+// Serves the operator's tool over JSON-RPC 2.0, with the methods status, drain, undrain and explain.
 class OperatorServer {
 public:
     explicit OperatorServer(OperatorHooks);
@@ -49,7 +49,7 @@
     OperatorServer(OperatorServer const&) = delete;
     OperatorServer& operator=(OperatorServer const&) = delete;
 
-    // Takes the text of a JSON-RPC request and gives that of its response.
+    // Handles a JSON-RPC request and returns the response, both as text.
     std::string handle(std::string const& request);
 
 private:
--- a/Services/stagepostd/PlacementExplanation.cpp
+++ b/Services/stagepostd/PlacementExplanation.cpp
@@ -4,29 +4,29 @@
 
 namespace Stagepost {
 
-std::vector<CandidateExplanation> explainPlacement(PlacementKnowledge const& from, ExplainedChat const& asked, Instant now)
+std::vector<CandidateExplanation> explainPlacement(ExplanationSources const& sources, ChatQuery const& query, Instant now)
 {
     std::vector<CandidateExplanation> result;
-    auto const settings = from.policies.settings();
+    auto const settings = sources.policies.settings();
     if (!settings)
         return result;
-    auto const pool = settings->poolByModel.find(asked.model);
+    auto const pool = settings->poolByModel.find(query.model);
     if (pool == settings->poolByModel.end())
         return result;
-    auto const id = chatIdOf(asked.chat, OrganisationId::fromName("organisations." + asked.organisation), pool->second);
-    auto const mean = from.node.leaseServer().loads().mean(pool->second, now);
+    auto const id = chatIdOf(query.chat, OrganisationId::fromName("organisations." + query.organisation), pool->second);
+    auto const mean = sources.admission.leaseServer().loads().mean(pool->second, now);
     auto const nameOfVM = [&](VMId vm) {
-        auto const* entry = from.vms.find(vm);
-        return entry ? entry->name : from.ownName;
+        auto const* entry = sources.vms.find(vm);
+        return entry ? entry->name : sources.daemonName;
     };
-    for (auto const upstream : from.node.view().candidates(pool->second, id, from.policies.pool(pool->second).candidates)) {
+    for (auto const upstream : sources.admission.view().candidates(pool->second, id, sources.policies.pool(pool->second).candidates)) {
         CandidateExplanation row;
-        auto const* entry = from.vms.find(VMId(upstream.value()));
+        auto const* entry = sources.vms.find(VMId(upstream.value()));
         row.upstream = entry ? entry->name : "";
         row.hall = entry ? entry->hall : "";
-        if (auto const owner = from.node.view().ownerOf(upstream))
+        if (auto const owner = sources.admission.view().ownerOf(upstream))
             row.owner = nameOfVM(*owner);
-        if (auto* owner = from.node.leaseServer().find(upstream)) {
+        if (auto* owner = sources.admission.leaseServer().find(upstream)) {
             row.isOwnedHere = true;
             row.load = owner->load();
             row.cap = owner->cap(mean, now);
--- a/Services/stagepostd/PlacementExplanation.h
+++ b/Services/stagepostd/PlacementExplanation.h
@@ -7,23 +7,23 @@
 
 namespace Stagepost {
 
-// What an explanation is drawn from.
-struct PlacementKnowledge {
-    AdmissionController& node;
+// The sources of an explanation.
+struct ExplanationSources {
+    AdmissionController& admission;
     VMList const& vms;
     SettingsPolicies const& policies;
-    std::string const& ownName;
+    std::string const& daemonName;
 };
 
-// The chat that is asked about.
-struct ExplainedChat {
+// The chat to explain.
+struct ChatQuery {
     std::string const& model;
     std::string const& organisation;
     std::string const& chat;
 };
 
-// The upstreams that a chat would be placed on, the best first, and what is known
-// of each here. Empty for a model that no pool serves.
-std::vector<CandidateExplanation> explainPlacement(PlacementKnowledge const&, ExplainedChat const&, Instant now);
+// Returns the candidate upstreams of a chat in order of preference, with what this daemon knows of
+// each. Empty if no pool serves the model.
+std::vector<CandidateExplanation> explainPlacement(ExplanationSources const&, ChatQuery const&, Instant now);
 
 }
--- a/Services/stagepostd/SystemRandom.h
+++ b/Services/stagepostd/SystemRandom.h
@@ -4,7 +4,7 @@
 
 namespace Stagepost {
 
-// Random numbers seeded by the system, for a program that runs; tests seed their own.
+// Returns a random number generator that is seeded by the system. Tests use one with a fixed seed.
 RandomHook systemRandom();
 
 }
