--- a/Meta/Measure/SettingsMeasurement.cpp
+++ b/Meta/Measure/SettingsMeasurement.cpp
@@ -85,7 +85,7 @@
         return quantile(samples, 0.5);
     }
 
-    Result<RouteTable::Parts> readWhole(SettingsSteps const& step)
+    Result<RouteTable::Parts> readWhole(IncrementalSettingsParser const& step)
     {
         for (;;) {
             if (auto parts = step())
--- a/Services/stagepostd/GatewayDialect.h
+++ b/Services/stagepostd/GatewayDialect.h
@@ -7,7 +7,7 @@
 #include <LibSettings/RouteTable.h>
 #include <functional>
 #include <optional>
-#include <stagepostd/SettingsSteps.h>
+#include <stagepostd/IncrementalSettingsParser.h>
 
 namespace Stagepost {
 
@@ -56,7 +56,7 @@
 // and of its upstreams.
 struct GatewayDialect {
     // Starts to parse a configuration. Only one is parsed at a time.
-    std::function<SettingsSteps(SettingsText const&)> readSettings;
+    std::function<IncrementalSettingsParser(SettingsText const&)> readSettings;
     // The header field that carries the request's id; answers repeat it.
     std::string idField;
     std::function<GatewayCall(HttpRequest const&)> readCall;
--- a/Services/stagepostd/SettingsHistory.h
+++ b/Services/stagepostd/SettingsHistory.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <deque>
 #include <optional>
-#include <stagepostd/SettingsSteps.h>
+#include <stagepostd/IncrementalSettingsParser.h>
 #include <string>
 #include <vector>
 
--- a/Services/stagepostd/SettingsLoader.h
+++ b/Services/stagepostd/SettingsLoader.h
@@ -3,8 +3,8 @@
 #include <LibProxy/Timer.h>
 #include <functional>
 #include <optional>
+#include <stagepostd/IncrementalSettingsParser.h>
 #include <stagepostd/SettingsHistory.h>
-#include <stagepostd/SettingsSteps.h>
 
 namespace Stagepost {
 
@@ -29,7 +29,7 @@
     };
 
     struct Hooks {
-        std::function<SettingsSteps(SettingsText const&)> parse;
+        std::function<IncrementalSettingsParser(SettingsText const&)> parse;
         // Applies the result. Returns whether this configuration or a newer one is now in force,
         // which is false if parsing failed.
         std::function<bool(Result<RouteTable::Parts>&&, PendingSettings const&)> parsed;
@@ -54,7 +54,7 @@
     Hooks m_hooks;
     Timer m_timer;
     std::optional<PendingSettings> m_current;
-    SettingsSteps m_steps;
+    IncrementalSettingsParser m_steps;
     std::optional<PendingSettings> m_next;
 };
 
--- a/Tests/platform/TestSettingsLoader.cpp
+++ b/Tests/platform/TestSettingsLoader.cpp
@@ -7,7 +7,7 @@
 
 // Parses a text of N letters in N steps, and fails at an 'x'.
 struct World {
-    SettingsSteps parse(std::string const& text)
+    IncrementalSettingsParser parse(std::string const& text)
     {
         started.push_back(text);
         return [this, text, at = size_t { 0 }]() mutable -> std::optional<Result<RouteTable::Parts>> {
