--- a/Services/stagepostd/Daemon.cpp
+++ b/Services/stagepostd/Daemon.cpp
@@ -217,7 +217,7 @@
     // Tags are compared in constant time, so the response time reveals nothing about the token.
     auto const expected = m_authenticator.computeTag("Bearer " + m_options.operatorToken);
     if (call.method != "POST" || !m_authenticator.verifyTag(call.headers.find("Authorization"), expected))
-        return refuse({ RefusalReason::WrongToken, Verdict::NotRun, "the bearer token of the operator is missing or invalid", {} });
+        return refuse({ RefusalReason::WrongToken, Verdict::NotRun, "the operator's token is wrong or missing", {} });
     return makeJsonResponse(200, m_operatorServer.handle(call.body));
 }
 
@@ -252,7 +252,7 @@
 {
     auto const settings = m_settingsFollower.settings();
     if (!settings) {
-        exchange->respond(refuse({ RefusalReason::NoSettings, Verdict::NotRun, "this daemon has not received any settings yet", Milliseconds(1000) }));
+        exchange->respond(refuse({ RefusalReason::NoSettings, Verdict::NotRun, "this daemon has no settings yet", Milliseconds(1000) }));
         return;
     }
     auto request = readRequest(exchange->request(), *settings, m_loop.now());
@@ -285,7 +285,7 @@
 {
     auto const settings = m_settingsFollower.settings();
     if (!settings)
-        return refuse({ RefusalReason::NoSettings, Verdict::NotRun, "this daemon has not received any settings yet", Milliseconds(1000) });
+        return refuse({ RefusalReason::NoSettings, Verdict::NotRun, "this daemon has no settings yet", Milliseconds(1000) });
     auto const organisation = authenticate(call, *settings);
     if (auto const* refusal = std::get_if<Refusal>(&organisation))
         return refuse(*refusal);
--- a/Services/stagepostd/OnceGateway.cpp
+++ b/Services/stagepostd/OnceGateway.cpp
@@ -109,11 +109,11 @@
     if (!countText.empty()) {
         auto const [end, code] = std::from_chars(countText.data(), countText.data() + countText.size(), count);
         if (code != std::errc() || end != countText.data() + countText.size() || count == 0 || count > maxTicketsPerRequest)
-            return m_dependencies.refuse({ RefusalReason::BadRequest, Verdict::NotRun, "count must be a number from 1 to 256", {} });
+            return m_dependencies.refuse({ RefusalReason::BadRequest, Verdict::NotRun, "count is a number from 1 to 256", {} });
     }
     auto const tickets = m_ticketBook.issue(organisation, count);
     if (tickets.empty())
-        return m_dependencies.refuse({ RefusalReason::OnceMemoryFull, Verdict::NotRun, "the ticket window is full and its oldest ticket is still running", Milliseconds(1000) });
+        return m_dependencies.refuse({ RefusalReason::OnceMemoryFull, Verdict::NotRun, "as many tickets are running as can be remembered", Milliseconds(1000) });
     return makeJsonResponse(200, nlohmann::json { { "tickets", tickets } }.dump() + '\n');
 }
 
@@ -160,7 +160,7 @@
         if (result.verdict == Verdict::NotRun)
             onUnreachable();
         else
-            refuse(*exchange, { *result.failure, Verdict::MayHaveRun, "the connection to the daemon that decides on this request was lost", {} });
+            refuse(*exchange, { *result.failure, Verdict::MayHaveRun, "the daemon that decides on this request was lost", {} });
     });
 }
 
@@ -177,7 +177,7 @@
 
 void OnceGateway::serveTicket(std::shared_ptr<Exchange> const& exchange, CallerRequest const& request)
 {
-    Refusal const issuerUnreachable { RefusalReason::TicketHolderGone, Verdict::MayHaveRun, "the daemon that issued the ticket cannot be reached", {} };
+    Refusal const issuerUnreachable { RefusalReason::TicketHolderGone, Verdict::MayHaveRun, "the daemon that handed the ticket out cannot be reached", {} };
     auto const decision = m_ticketBook.redeem(request.ticket, request.organisation.id, requestFingerprint(exchange->request()));
     if (auto const* refusal = std::get_if<Refusal>(&decision)) {
         refuse(*exchange, *refusal);
--- a/Services/stagepostd/PeerSettings.cpp
+++ b/Services/stagepostd/PeerSettings.cpp
@@ -81,9 +81,9 @@
 {
     auto const opened = m_authenticator.verifyMessage(hexToBytes(call.headers.find(peerHeader)));
     if (!opened || opened->body != requestText)
-        return makeTextResponse(statusForbidden, "only daemons of this fleet may read the settings\n");
+        return makeTextResponse(statusForbidden, "for daemons of this fleet only\n");
     if (!m_settings.settings())
-        return makeTextResponse(statusNotFound, "this daemon has not received any settings yet\n");
+        return makeTextResponse(statusNotFound, "no settings yet\n");
     return { 200, { { "Content-Type", "application/octet-stream" } }, m_authenticator.signMessage(encode(m_settings.applied())) };
 }
 
--- a/Services/stagepostd/RequestHandler.cpp
+++ b/Services/stagepostd/RequestHandler.cpp
@@ -49,7 +49,7 @@
         m_services.admission.cancel(*m_placementNumber, m_services.loop.now());
     // A forward in progress ends by itself and reports its own verdict.
     if (!m_isForwarding)
-        finish(Refusal { RefusalReason::CallerGone, m_combinedVerdict, "the caller closed its connection before the request was forwarded", {} }, {});
+        finish(Refusal { RefusalReason::CallerGone, m_combinedVerdict, "the caller left before its request was sent on", {} }, {});
 }
 
 void RequestHandler::handlePlacement(Placement const& placement)
@@ -75,7 +75,7 @@
         }
     }
     m_services.admission.release(lease.id, LeaseOutcome::Unused, m_services.loop.now());
-    refuse({ RefusalReason::NoUpstream, Verdict::NotRun, "the upstream is no longer in the list of VMs", Milliseconds(1000) });
+    refuse({ RefusalReason::NoUpstream, Verdict::NotRun, "the upstream has left the list", Milliseconds(1000) });
 }
 
 void RequestHandler::forward(Lease const& lease, VMEntry const& upstream)
--- a/Services/stagepostd/RequestReader.cpp
+++ b/Services/stagepostd/RequestReader.cpp
@@ -70,7 +70,7 @@
         int64_t value = 0;
         auto const [end, code] = std::from_chars(text.data(), text.data() + text.size(), value);
         if (code != std::errc() || end != text.data() + text.size() || value <= 0)
-            return refuse(RefusalReason::BadRequest, "Stagepost-Deadline-Ms must be a positive number of milliseconds");
+            return refuse(RefusalReason::BadRequest, "Stagepost-Deadline-Ms is not a number of milliseconds above 0");
         request.placement.deadline = now + Milliseconds(value);
         return {};
     }
@@ -82,7 +82,7 @@
         if (request.idempotencyKey.size() > maxIdempotencyKeyLength)
             return refuse(RefusalReason::BadRequest, "Idempotency-Key is longer than 255 characters");
         if (!request.idempotencyKey.empty() && !request.ticket.empty())
-            return refuse(RefusalReason::BadRequest, "a request must not have both an Idempotency-Key and a Stagepost-Ticket");
+            return refuse(RefusalReason::BadRequest, "a request carries an Idempotency-Key or a Stagepost-Ticket, not both");
         if (auto refusal = readDeadline(call, request, now))
             return refusal;
         auto const urgency = parseUrgency(call.headers.find("Priority"));
@@ -111,12 +111,12 @@
     std::variant<CallerRequest, Refusal> readChat(HttpRequest const& call, FleetSettings const& settings, CallerRequest request, Instant now)
     {
         if (call.method != "POST")
-            return refuse(RefusalReason::BadRequest, "chat completions must use the POST method");
+            return refuse(RefusalReason::BadRequest, "a chat completion is a POST");
         auto const body = Json::parse(call.body, nullptr, false);
         if (!body.is_object())
             return refuse(RefusalReason::BadJson, "the body is not a JSON object");
         if (!body.contains("model") || !body["model"].is_string() || !body.contains("messages") || !body["messages"].is_array())
-            return refuse(RefusalReason::BadJson, "the body must have a string 'model' and an array 'messages'");
+            return refuse(RefusalReason::BadJson, "the body has no text 'model' or no list 'messages'");
         auto const pool = settings.poolByModel.find(body["model"].get<std::string>());
         if (pool == settings.poolByModel.end())
             return refuse(RefusalReason::NoSuchModel, "no pool serves this model");
@@ -168,7 +168,7 @@
         return refuse(RefusalReason::MissingToken, "the request has no bearer token");
     auto const found = settings.organisationByTokenHash.find(hashOfToken(field.substr(bearerPrefix.size())));
     if (found == settings.organisationByTokenHash.end())
-        return refuse(RefusalReason::WrongToken, "the bearer token belongs to no organisation");
+        return refuse(RefusalReason::WrongToken, "the bearer token is of no organisation");
     return settings.organisations.at(found->second);
 }
 
@@ -176,7 +176,7 @@
 {
     bool const isChat = call.path() == chatPath;
     if (!isChat && !call.target.starts_with(servicePrefix))
-        return refuse(RefusalReason::NoSuchPath, "the path must be /v1/chat/completions or /services/NAME/...");
+        return refuse(RefusalReason::NoSuchPath, "paths are /v1/chat/completions and /services/NAME/...");
     auto organisation = authenticate(call, settings);
     if (auto* refusal = std::get_if<Refusal>(&organisation))
         return *refusal;
