--- a/Tests/platform/TestPlatformReaders.cpp
+++ b/Tests/platform/TestPlatformReaders.cpp
@@ -128,7 +128,7 @@
 {
     BOOST_TEST(mentions(errorWith("/version", "seven"), "configuration.version must be a number"));
     BOOST_TEST(mentions(errorWith("/routes/1/timeoutMs", -5), "routes[1].timeoutMs"));
-    BOOST_TEST(mentions(errorWith("/routes/0/host", nullptr), "routes[0].host must be a text and is nothing"));
+    BOOST_TEST(mentions(errorWith("/routes/0/host", nullptr), "routes[0].host must be a string and is nothing"));
     BOOST_TEST(mentions(errorWith("/routes/0/split/0/weight", "x"), "split.weight"));
     BOOST_TEST(mentions(errorWith("/services/0/name", 3), "services[0].name"));
     BOOST_TEST(mentions(errorWith("/tenants/0/apiKeys/0", 3), "tenants[0].apiKeys"));
