--- a/Tests/platform/TestStoreClient.cpp
+++ b/Tests/platform/TestStoreClient.cpp
@@ -80,7 +80,7 @@
 {
     PagedStore store;
     std::optional<Result<KeyedRecords>> found;
-    store.client.newest(
+    store.client.readLatest(
         "t", [] { return true; }, [&](auto result) { found = std::move(result); });
     BOOST_REQUIRE(found && found->has_value());
     BOOST_TEST((*found)->records.size() == 3u);
@@ -93,7 +93,7 @@
 {
     PagedStore store;
     std::optional<Result<KeyedRecords>> found;
-    store.client.newest(
+    store.client.readLatest(
         "t", [] { return false; }, [&](auto result) { found = std::move(result); });
     BOOST_TEST(store.targets.size() == 1u);
     BOOST_REQUIRE(found && !found->has_value());
@@ -115,7 +115,7 @@
         callback(HttpReply { 200, {}, R"({"items":[{"key":"a","value":"dg=="},{"key":"b","value":"no base64!"},{"key":7},3,{"key":"c","value":"dg=="}],"hasMore":false,"end":7})" });
     });
     std::optional<Result<KeyedRecords>> found;
-    client.newest(
+    client.readLatest(
         "t", [] { return true; }, [&](auto result) { found = std::move(result); });
     BOOST_REQUIRE(found && found->has_value());
     auto const& records = (*found)->records;
@@ -129,7 +129,7 @@
 {
     RecordStore store;
     std::optional<Result<StorePosition>> end;
-    store.client.end("t", [&](auto result) { end = std::move(result); });
+    store.client.queryEnd("t", [&](auto result) { end = std::move(result); });
     BOOST_REQUIRE(end && end->has_value());
     BOOST_TEST(end->value().offset.value() == 2u);
     BOOST_TEST(store.targets.size() == 1u);
--- a/Tests/platform/TestStoreReturn.cpp
+++ b/Tests/platform/TestStoreReturn.cpp
@@ -106,22 +106,22 @@
 BOOST_AUTO_TEST_CASE(PositionsOrderByEraFirst)
 {
     BOOST_TEST((at(1, 900) < at(2, 3)));
-    BOOST_TEST((at(1, 900).number() < at(2, 3).number()));
-    BOOST_TEST((StorePosition::ofNumber(at(7, 900).number()) == at(7, 900)));
+    BOOST_TEST((at(1, 900).packed() < at(2, 3).packed()));
+    BOOST_TEST((StorePosition::unpack(at(7, 900).packed()) == at(7, 900)));
     // As daemons write it that know of no eras.
-    BOOST_TEST(at(0, 900).number() == 900u);
+    BOOST_TEST(at(0, 900).packed() == 900u);
 }
 
 // A daemon that starts again right after the return, at a lower offset than before: its
 // peers, which have not seen the return, would take it for older than itself.
 BOOST_AUTO_TEST_CASE(IncarnationsRiseWhateverOffsetsDo)
 {
-    BOOST_TEST((incarnationAt(at(1, 900)) < incarnationAt(at(1, 901))));
-    BOOST_TEST((incarnationAt(at(1, 900)) < incarnationAt(at(2, 3))));
-    BOOST_TEST((incarnationAt(at(0, 900)) < incarnationAt(at(1, 3))));
-    BOOST_TEST((incarnationAt(at(254, 900)) < incarnationAt(at(255, 3))));
+    BOOST_TEST((incarnationFromPosition(at(1, 900)) < incarnationFromPosition(at(1, 901))));
+    BOOST_TEST((incarnationFromPosition(at(1, 900)) < incarnationFromPosition(at(2, 3))));
+    BOOST_TEST((incarnationFromPosition(at(0, 900)) < incarnationFromPosition(at(1, 3))));
+    BOOST_TEST((incarnationFromPosition(at(254, 900)) < incarnationFromPosition(at(255, 3))));
     // As daemons that know of no eras have it.
-    BOOST_TEST(incarnationAt(at(0, 900)).value() == uint64_t { 901 } << 32);
+    BOOST_TEST(incarnationFromPosition(at(0, 900)).value() == uint64_t { 901 } << 32);
 }
 
 BOOST_AUTO_TEST_CASE(AnAnswerFromBeforeTheReturnCountsAsNone)
@@ -130,7 +130,7 @@
     store.era = 3;
     std::optional<Result<StorePosition>> end;
     store.isStrict = false;
-    auto const ask = [&] { store.client.end("t", [&](auto result) { end = std::move(result); }); };
+    auto const ask = [&] { store.client.queryEnd("t", [&](auto result) { end = std::move(result); }); };
     ask();
     BOOST_REQUIRE(end && end->has_value());
     BOOST_TEST((end->value() == at(3, 2)));
