--- a/Tests/platform/TestStoreClient.cpp
+++ b/Tests/platform/TestStoreClient.cpp
@@ -2,7 +2,7 @@
 #include <nlohmann/json.hpp>
 #include <platform/KeyedTopicFollower.h>
 #include <platform/StoreClient.h>
-#include <platform/StorePace.h>
+#include <platform/StoreRateLimit.h>
 
 using namespace Stagepost;
 
@@ -21,11 +21,11 @@
 
 }
 
-// A topic whose records are added by the test, and what is asked of it.
+// A store with one topic, to which the test adds records, and the targets of the calls that it gets.
 struct RecordStore {
     StoreClient client { {}, [this](Endpoint const&, HttpCall const& call, Milliseconds, auto const& callback) {
                             targets.push_back(call.target);
-                            if (isStrict && call.target.find("from=281474976710656") != std::string::npos) {
+                            if (rejectsReadsPastEnd && call.target.find("from=281474976710656") != std::string::npos) {
                                 callback(HttpReply { 400, {}, {} });
                                 return;
                             }
@@ -37,46 +37,46 @@
                             callback(HttpReply { 200, {}, body });
                         } };
     std::vector<std::string> records { "a", "b" };
-    // Refuses a read from behind the end.
-    bool isStrict { false };
+    // Whether reads from beyond the end fail with status 400.
+    bool rejectsReadsPastEnd { false };
     std::vector<std::string> targets;
 };
 
-// A daemon that others tell up to where they know the topic.
-struct ToldFollower {
-    ToldFollower()
+// Follows the topic of a RecordStore, while other daemons forward records up to a known position.
+struct FollowerWithPeers {
+    FollowerWithPeers()
     {
         KeyedTopicFollower::Hooks hooks;
-        hooks.taken = [this](auto const& batch) {
-            ++proofs;
+        hooks.handleBatch = [this](auto const& batch) {
+            ++batches;
             for (auto const& record : batch.records)
-                read.push_back(*record.value);
+                readValues.push_back(*record.value);
             return true;
         };
         hooks.isNeeded = [] { return true; };
-        hooks.areAllPagesNeeded = [] { return true; };
-        hooks.fairPause = [](size_t) { return Milliseconds(1); };
-        hooks.knownUpTo = [this] { return known; };
-        hooks.areRecordsNeeded = [this] { return isOverdue; };
-        hooks.added = [this] { ++added; };
+        hooks.areFurtherPagesNeeded = [] { return true; };
+        hooks.fleetRetryDelay = [](size_t) { return Milliseconds(1); };
+        hooks.knownPosition = [this] { return known; };
+        hooks.areRecordsNeeded = [this] { return areRecordsNeeded; };
+        hooks.recordsAdded = [this] { ++added; };
         follower.emplace(
-            loop, store.client, "t", KeyedTopicFollower::Pace { Milliseconds(0), Milliseconds(1) }, [] { return 0u; }, hooks);
+            loop, store.client, "t", KeyedTopicFollower::Options { Milliseconds(0), Milliseconds(1) }, [] { return 0u; }, hooks);
         follower->start();
     }
 
     EventLoop loop;
     RecordStore store;
     std::optional<StorePosition> known { StorePosition { {}, Offset(2) } };
-    bool isOverdue { false };
-    size_t proofs { 0 };
+    bool areRecordsNeeded { false };
+    size_t batches { 0 };
     size_t added { 0 };
-    std::vector<std::string> read;
+    std::vector<std::string> readValues;
     std::optional<KeyedTopicFollower> follower;
 };
 
 BOOST_AUTO_TEST_SUITE(StoreClientTests)
 
-BOOST_AUTO_TEST_CASE(AListIsReadPageByPage)
+BOOST_AUTO_TEST_CASE(ListsAreReadPageByPage)
 {
     PagedStore store;
     std::optional<Result<KeyedRecords>> found;
@@ -84,12 +84,12 @@
         "t", [] { return true; }, [&](auto result) { found = std::move(result); });
     BOOST_REQUIRE(found && found->has_value());
     BOOST_TEST((*found)->records.size() == 3u);
-    // What changes while the pages are read is read again.
+    // Changes made during the read must be read again.
     BOOST_TEST((*found)->next.offset.value() == 41u);
     BOOST_TEST(store.targets.back().ends_with("=k2"));
 }
 
-BOOST_AUTO_TEST_CASE(AListThatIsNotNeededAnyMoreIsGivenUpBetweenPages)
+BOOST_AUTO_TEST_CASE(ListReadIsCancelledBetweenPages)
 {
     PagedStore store;
     std::optional<Result<KeyedRecords>> found;
@@ -100,16 +100,16 @@
     BOOST_TEST((found->error().code == make_error_code(ErrorCode::Cancelled)));
 }
 
-BOOST_AUTO_TEST_CASE(AllDaemonsTogetherTryAgainWithinHalfOfWhatTheStoreTakes)
+BOOST_AUTO_TEST_CASE(RetriesOfAllDaemonsUseLessThanHalfTheStoreCapacity)
 {
-    StorePace const pace { 2000 };
+    StoreRateLimit const limit { 2000 };
     for (size_t const daemons : { 1u, 7u, 85u, 330u }) {
-        auto const pause = asSeconds(pace.fairPause(daemons + 1));
-        BOOST_TEST(static_cast<double>(daemons) * 2 / pause < 1000);
+        auto const delay = asSeconds(limit.retryDelay(daemons + 1));
+        BOOST_TEST(static_cast<double>(daemons) * 2 / delay < 1000);
     }
 }
 
-BOOST_AUTO_TEST_CASE(AnItemThatCannotBeReadLeavesTheOthers)
+BOOST_AUTO_TEST_CASE(InvalidItemsDoNotAffectOthers)
 {
     StoreClient const client({}, [](Endpoint const&, HttpCall const&, Milliseconds, auto const& callback) {
         callback(HttpReply { 200, {}, R"({"items":[{"key":"a","value":"dg=="},{"key":"b","value":"no base64!"},{"key":7},3,{"key":"c","value":"dg=="}],"hasMore":false,"end":7})" });
@@ -121,11 +121,11 @@
     auto const& records = (*found)->records;
     BOOST_REQUIRE(records.size() == 3u);
     BOOST_TEST((records[0].value == "v" && records[2].value == "v"));
-    // It is there and cannot be read, which is not the same as taken away.
+    // An undecodable value must not look like a deleted key.
     BOOST_TEST((records[1].value == std::string()));
 }
 
-BOOST_AUTO_TEST_CASE(TheEndOfATopicCostsNoRecord)
+BOOST_AUTO_TEST_CASE(EndIsQueriedWithoutRecords)
 {
     RecordStore store;
     std::optional<Result<StorePosition>> end;
@@ -135,51 +135,51 @@
     BOOST_TEST(store.targets.size() == 1u);
 }
 
-// While one daemon of a hall read a configuration of 0.8 MB, the proofs of all others
-// grew old, and each of them read it as well: 0.7 s of a link of 10 Mbit/s, on which
-// requests found no connection to their upstreams in 40 ms.
-BOOST_AUTO_TEST_CASE(WhatOthersAreAboutToTellIsNotReadByAll)
+// While one daemon of a hall read a configuration of 0.8 MB, the confirmations of all others
+// expired, so each of them read it too. That took 0.7 s of a link of 10 Mbit/s, on which requests
+// then could not connect to their upstreams within 40 ms.
+BOOST_AUTO_TEST_CASE(RecordsThatOthersForwardAreNotRead)
 {
-    ToldFollower told;
-    told.loop.runFor(Milliseconds(10));
-    BOOST_TEST(told.proofs > 0u);
-    told.store.records.emplace_back("large");
-    told.loop.runFor(Milliseconds(10));
-    auto const proofs = told.proofs;
-    BOOST_TEST(told.added > 0u);
-    told.loop.runFor(Milliseconds(10));
-    // What is there and not known proves nothing.
-    BOOST_TEST(told.proofs == proofs);
-    BOOST_TEST(told.read.empty());
-    told.known = StorePosition { {}, Offset(3) };
-    told.loop.runFor(Milliseconds(10));
-    BOOST_TEST(told.proofs > proofs);
-    BOOST_TEST(told.read.empty());
+    FollowerWithPeers daemon;
+    daemon.loop.runFor(Milliseconds(10));
+    BOOST_TEST(daemon.batches > 0u);
+    daemon.store.records.emplace_back("large");
+    daemon.loop.runFor(Milliseconds(10));
+    auto const batches = daemon.batches;
+    BOOST_TEST(daemon.added > 0u);
+    daemon.loop.runFor(Milliseconds(10));
+    // Unread records must not confirm the known state.
+    BOOST_TEST(daemon.batches == batches);
+    BOOST_TEST(daemon.readValues.empty());
+    daemon.known = StorePosition { {}, Offset(3) };
+    daemon.loop.runFor(Milliseconds(10));
+    BOOST_TEST(daemon.batches > batches);
+    BOOST_TEST(daemon.readValues.empty());
 }
 
-BOOST_AUTO_TEST_CASE(AStoreThatDoesNotSayWhereATopicEndsIsRead)
+BOOST_AUTO_TEST_CASE(RecordsAreReadIfEndQueryFails)
 {
-    ToldFollower told;
-    told.store.isStrict = true;
-    told.store.records.emplace_back("new");
-    for (size_t round = 0; round < 100 && told.read.empty(); ++round)
-        told.loop.runFor(Milliseconds(20));
-    BOOST_TEST((told.read == std::vector<std::string> { "new" }));
-    BOOST_TEST(told.proofs > 0u);
+    FollowerWithPeers daemon;
+    daemon.store.rejectsReadsPastEnd = true;
+    daemon.store.records.emplace_back("new");
+    for (size_t round = 0; round < 100 && daemon.readValues.empty(); ++round)
+        daemon.loop.runFor(Milliseconds(20));
+    BOOST_TEST((daemon.readValues == std::vector<std::string> { "new" }));
+    BOOST_TEST(daemon.batches > 0u);
 }
 
-BOOST_AUTO_TEST_CASE(WhatNobodyTellsIsReadFromWhereOthersWere)
+BOOST_AUTO_TEST_CASE(RecordsThatNobodyForwardsAreReadFromKnownPosition)
 {
-    ToldFollower told;
-    told.store.records.emplace_back("new");
-    told.loop.runFor(Milliseconds(10));
-    told.isOverdue = true;
-    told.loop.runFor(Milliseconds(10));
-    BOOST_TEST((told.read == std::vector<std::string> { "new" }));
+    FollowerWithPeers daemon;
+    daemon.store.records.emplace_back("new");
+    daemon.loop.runFor(Milliseconds(10));
+    daemon.areRecordsNeeded = true;
+    daemon.loop.runFor(Milliseconds(10));
+    BOOST_TEST((daemon.readValues == std::vector<std::string> { "new" }));
 }
 
-// Whoever is to pause longer after each failure has to be told how many there were.
-BOOST_AUTO_TEST_CASE(FailuresInARowAreCountedUntilTheStoreAnswers)
+// The retry delay depends on the number of consecutive failures.
+BOOST_AUTO_TEST_CASE(ConsecutiveFailuresAreCounted)
 {
     EventLoop loop;
     size_t calls = 0;
@@ -192,10 +192,10 @@
     });
     std::vector<size_t> failures;
     KeyedTopicFollower::Hooks hooks;
-    hooks.taken = [](auto const&) { return true; };
+    hooks.handleBatch = [](auto const&) { return true; };
     hooks.isNeeded = [] { return true; };
-    hooks.areAllPagesNeeded = [] { return true; };
-    hooks.fairPause = [&](size_t count) {
+    hooks.areFurtherPagesNeeded = [] { return true; };
+    hooks.fleetRetryDelay = [&](size_t count) {
         failures.push_back(count);
         if (failures.size() == 4)
             loop.stop();
--- a/Tests/platform/TestStoreReturn.cpp
+++ b/Tests/platform/TestStoreReturn.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-// A store with one topic of one key, which may come back from a copy.
-struct ReturningStore {
+// A store with one topic and one key that can be restored from a copy.
+struct RestoredStore {
     StoreClient client { {}, [this](Endpoint const&, HttpCall const& call, Milliseconds, auto const& callback) { callback(answer(call)); } };
 
     std::vector<std::string> records { "v1", "v2" };
     std::optional<uint64_t> era { 1 };
-    // Answers a read from where it has nothing with 410.
-    bool isStrict { true };
+    // Whether reads from beyond the end fail with status 410.
+    bool rejectsReadsPastEnd { true };
     std::vector<std::string> targets;
 
-    void returnTo(size_t count, std::vector<std::string> const& written)
+    void restore(size_t count, std::vector<std::string> const& written)
     {
         records.resize(count);
         records.insert(records.end(), written.begin(), written.end());
@@ -49,7 +49,7 @@
 
     void read(HttpReply& reply, uint64_t from) const
     {
-        if (from > records.size() && isStrict) {
+        if (from > records.size() && rejectsReadsPastEnd) {
             reply.status = 410;
             return;
         }
@@ -60,37 +60,37 @@
     }
 };
 
-// A daemon that follows it.
+// Follows the topic of a RestoredStore.
 struct Follower {
     explicit Follower(bool areRecordsNeeded = true)
     {
         KeyedTopicFollower::Hooks hooks;
-        hooks.taken = [this](auto const& batch) {
-            ++proofs;
-            returns += batch.isAfterReturn ? 1 : 0;
+        hooks.handleBatch = [this](auto const& batch) {
+            ++batches;
+            batchesAfterReturn += batch.isAfterReturn ? 1 : 0;
             for (auto const& record : batch.records)
-                taken.push_back(*record.value);
+                values.push_back(*record.value);
             return true;
         };
         hooks.isNeeded = [] { return true; };
-        hooks.areAllPagesNeeded = [] { return true; };
-        hooks.fairPause = [](size_t) { return Milliseconds(1); };
+        hooks.areFurtherPagesNeeded = [] { return true; };
+        hooks.fleetRetryDelay = [](size_t) { return Milliseconds(1); };
         hooks.areRecordsNeeded = [areRecordsNeeded] { return areRecordsNeeded; };
-        hooks.added = [this] { ++added; };
-        hooks.returned = [this] { ++noted; };
+        hooks.recordsAdded = [this] { ++added; };
+        hooks.storeReturned = [this] { ++returnHookCalls; };
         follower.emplace(
-            loop, store.client, "t", KeyedTopicFollower::Pace { Milliseconds(0), Milliseconds(1) }, [] { return 0u; }, hooks);
+            loop, store.client, "t", KeyedTopicFollower::Options { Milliseconds(0), Milliseconds(1) }, [] { return 0u; }, hooks);
         follower->start();
         loop.runFor(Milliseconds(10));
     }
 
     EventLoop loop;
-    ReturningStore store;
-    size_t proofs { 0 };
-    size_t returns { 0 };
+    RestoredStore store;
+    size_t batches { 0 };
+    size_t batchesAfterReturn { 0 };
     size_t added { 0 };
-    size_t noted { 0 };
-    std::vector<std::string> taken;
+    size_t returnHookCalls { 0 };
+    std::vector<std::string> values;
     std::optional<KeyedTopicFollower> follower;
 };
 
@@ -108,28 +108,28 @@
     BOOST_TEST((at(1, 900) < at(2, 3)));
     BOOST_TEST((at(1, 900).packed() < at(2, 3).packed()));
     BOOST_TEST((StorePosition::unpack(at(7, 900).packed()) == at(7, 900)));
-    // As daemons write it that know of no eras.
+    // The format of daemons that do not support eras.
     BOOST_TEST(at(0, 900).packed() == 900u);
 }
 
-// A daemon that starts again right after the return, at a lower offset than before: its
-// peers, which have not seen the return, would take it for older than itself.
-BOOST_AUTO_TEST_CASE(IncarnationsRiseWhateverOffsetsDo)
+// A daemon that restarts right after the store was restored has a lower offset than before. Peers
+// that have not noticed the restore would consider it older than its previous process.
+BOOST_AUTO_TEST_CASE(IncarnationsIncreaseDespiteLowerOffsets)
 {
     BOOST_TEST((incarnationFromPosition(at(1, 900)) < incarnationFromPosition(at(1, 901))));
     BOOST_TEST((incarnationFromPosition(at(1, 900)) < incarnationFromPosition(at(2, 3))));
     BOOST_TEST((incarnationFromPosition(at(0, 900)) < incarnationFromPosition(at(1, 3))));
     BOOST_TEST((incarnationFromPosition(at(254, 900)) < incarnationFromPosition(at(255, 3))));
-    // As daemons that know of no eras have it.
+    // The incarnation in daemons that do not support eras.
     BOOST_TEST(incarnationFromPosition(at(0, 900)).value() == uint64_t { 901 } << 32);
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerFromBeforeTheReturnCountsAsNone)
+BOOST_AUTO_TEST_CASE(ResponsesFromBeforeRestoreAreErrors)
 {
-    ReturningStore store;
+    RestoredStore store;
     store.era = 3;
     std::optional<Result<StorePosition>> end;
-    store.isStrict = false;
+    store.rejectsReadsPastEnd = false;
     auto const ask = [&] { store.client.queryEnd("t", [&](auto result) { end = std::move(result); }); };
     ask();
     BOOST_REQUIRE(end && end->has_value());
@@ -138,66 +138,66 @@
     ask();
     BOOST_REQUIRE(end && !end->has_value());
     BOOST_TEST((end->error().code == make_error_code(ErrorCode::PlatformDown)));
-    // One that does not say is of the newest.
+    // A response without an era counts as one of the newest era.
     store.era.reset();
     ask();
     BOOST_REQUIRE(end && end->has_value());
     BOOST_TEST((end->value() == at(3, 2)));
 }
 
-// The configuration that had been in force was lost and the next one written at its offset.
-// Reading went on behind it, where nothing came, and each answer proved that nothing was
-// new: the new configuration was not in force after eight seconds.
-BOOST_AUTO_TEST_CASE(WhatIsWrittenWhereSomethingWasLostIsRead)
+// The restore loses the configuration in force, and the next one is written at the same offset.
+// Daemons continued to read after it, and each empty response confirmed the lost configuration:
+// the new one was not in force after eight seconds.
+BOOST_AUTO_TEST_CASE(RecordAtOffsetOfLostRecordIsRead)
 {
     Follower daemon;
-    BOOST_TEST(daemon.taken.back() == "v2");
-    daemon.store.returnTo(1, { "v3" });
+    BOOST_TEST(daemon.values.back() == "v2");
+    daemon.store.restore(1, { "v3" });
     daemon.loop.runFor(Milliseconds(10));
-    BOOST_TEST(daemon.taken.back() == "v3");
-    BOOST_TEST(daemon.returns == 1u);
-    BOOST_TEST(daemon.noted == 1u);
+    BOOST_TEST(daemon.values.back() == "v3");
+    BOOST_TEST(daemon.batchesAfterReturn == 1u);
+    BOOST_TEST(daemon.returnHookCalls == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(WhatIsWrittenBeyondWhatWasLostIsReadFromItsBeginning)
+BOOST_AUTO_TEST_CASE(RecordsAfterRestoreAreReadFromLatestSnapshot)
 {
     Follower daemon;
-    daemon.store.returnTo(0, { "v3", "v4", "v5" });
+    daemon.store.restore(0, { "v3", "v4", "v5" });
     daemon.loop.runFor(Milliseconds(10));
-    // Not what stands at the old position.
-    BOOST_TEST((daemon.taken == std::vector<std::string> { "v2", "v5" }));
-    BOOST_TEST(daemon.returns == 1u);
+    // The latest record is read, instead of continuing at the old position.
+    BOOST_TEST((daemon.values == std::vector<std::string> { "v2", "v5" }));
+    BOOST_TEST(daemon.batchesAfterReturn == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(AShorterTopicIsReadAnew)
+BOOST_AUTO_TEST_CASE(ShorterTopicIsReadAgain)
 {
     Follower daemon;
-    daemon.store.returnTo(1, {});
+    daemon.store.restore(1, {});
     daemon.loop.runFor(Milliseconds(10));
-    BOOST_TEST(daemon.taken.back() == "v1");
-    BOOST_TEST(daemon.returns == 1u);
+    BOOST_TEST(daemon.values.back() == "v1");
+    BOOST_TEST(daemon.batchesAfterReturn == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(TheSameEndInAnotherEraProvesNothing)
+BOOST_AUTO_TEST_CASE(SameEndInAnotherEraConfirmsNothing)
 {
     Follower daemon(false);
-    auto const proofs = daemon.proofs;
-    daemon.store.returnTo(1, { "v3" });
+    auto const batches = daemon.batches;
+    daemon.store.restore(1, { "v3" });
     daemon.loop.runFor(Milliseconds(10));
-    BOOST_TEST(daemon.proofs <= proofs + 1);
+    BOOST_TEST(daemon.batches <= batches + 1);
     BOOST_TEST(daemon.added > 0u);
-    // It is left to others, who tell it.
-    BOOST_TEST((daemon.taken == std::vector<std::string> { "v2" }));
+    // Other daemons read the records and forward them.
+    BOOST_TEST((daemon.values == std::vector<std::string> { "v2" }));
 }
 
-// A store that refuses a read from behind the end is asked for the list behind its last key.
-BOOST_AUTO_TEST_CASE(AStoreThatRefusesReadsBehindTheEndSaysItAllTheSame)
+// If the store rejects reads from beyond the end, the list after the last key gives the end.
+BOOST_AUTO_TEST_CASE(EndIsQueriedByListIfReadsPastEndFail)
 {
     Follower daemon(false);
-    auto const proofs = daemon.proofs;
+    auto const batches = daemon.batches;
     daemon.loop.runFor(Milliseconds(20));
-    BOOST_TEST(daemon.proofs > proofs + 3);
-    BOOST_TEST((daemon.taken == std::vector<std::string> { "v2" }));
+    BOOST_TEST(daemon.batches > batches + 3);
+    BOOST_TEST((daemon.values == std::vector<std::string> { "v2" }));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
