--- a/Utilities/stagepostctl/CommandLine.h
+++ b/Utilities/stagepostctl/CommandLine.h
@@ -8,7 +8,7 @@
 
 namespace Stagepost {
 
-// The exit codes of the operator's tool, as its help lists them.
+// Exit codes of stagepostctl, documented in its --help.
 enum class ExitCode : int {
     Done = 0,
     Failed = 1,
@@ -17,7 +17,7 @@
     NotInForce = 4,
 };
 
-// One call of the operator's tool.
+// The parsed command line of stagepostctl.
 struct CommandLine {
     std::string command;
     std::vector<std::string> arguments;
@@ -30,9 +30,10 @@
     bool wantsJson { false };
     bool allowsRemovals { false };
 
-    std::string message;
+    // Set if --help was given; the caller prints it and exits.
+    std::string helpText;
 
-    // Error: BadInput that names the flag, its value and what is allowed.
+    // Error: BadInput, with the flag or argument at fault in the detail.
     static Result<CommandLine> parse(int argc, char const* const* argv);
 };
 
--- a/Utilities/stagepostctl/main.cpp
+++ b/Utilities/stagepostctl/main.cpp
@@ -8,8 +8,8 @@
     auto const line = CommandLine::parse(argc, argv);
     if (!line)
         return static_cast<int>(fail(line.error(), ExitCode::Usage));
-    if (!line->message.empty()) {
-        std::cout << line->message;
+    if (!line->helpText.empty()) {
+        std::cout << line->helpText;
         return static_cast<int>(ExitCode::Done);
     }
     using Command = ExitCode (*)(CommandLine const&);
@@ -28,6 +28,6 @@
     };
     auto const command = commands.find(line->command);
     if (command == commands.end())
-        return static_cast<int>(fail(Error(ErrorCode::BadInput, "no command '" + line->command + "'; see --help"), ExitCode::Usage));
+        return static_cast<int>(fail(Error(ErrorCode::BadInput, "unknown command '" + line->command + "'; see --help"), ExitCode::Usage));
     return static_cast<int>(command->second(*line));
 }
