--- a/Utilities/stagepostctl/Commands.h
+++ b/Utilities/stagepostctl/Commands.h
@@ -16,7 +16,8 @@
 ExitCode explainChat(CommandLine const&);
 ExitCode printReference(CommandLine const&);
 
-// Prints an error to the standard error stream.
+// Prints an error to standard error and returns the exit code: Usage for a BadInput error
+// unless the caller chose another code, otherwise the given one.
 ExitCode fail(Error const&, ExitCode = ExitCode::Failed);
 
 }
--- a/Utilities/stagepostctl/FleetCommands.cpp
+++ b/Utilities/stagepostctl/FleetCommands.cpp
@@ -11,7 +11,7 @@
 
     using Json = nlohmann::json;
 
-    Result<void> checkFlags(CommandLine const& line)
+    Result<void> requireFleetFlags(CommandLine const& line)
     {
         if (!line.vmList)
             return Error(ErrorCode::BadInput, "--vm-list (or STAGEPOST_VM_LIST) is missing");
@@ -20,7 +20,7 @@
         return {};
     }
 
-    // An object's fields as one line of key=value pairs.
+    // Prints the members of a JSON object as key=value pairs on one line.
     void printRow(Json const& row)
     {
         bool isFirst = true;
@@ -36,16 +36,16 @@
         auto const vms = TRY(fleet.entryVMs());
         auto const found = std::find_if(vms.begin(), vms.end(), [&](auto const& vm) { return vm.name == name; });
         if (found == vms.end())
-            return Error(ErrorCode::NotFound, "the list has no entry VM named " + name);
+            return Error(ErrorCode::NotFound, "the VM list contains no entry VM named " + name);
         return *found;
     }
 
-    ExitCode callOne(CommandLine const& line, std::string const& method)
+    ExitCode callNamedVM(CommandLine const& line, std::string const& method)
     {
-        if (auto const flags = checkFlags(line); !flags)
+        if (auto const flags = requireFleetFlags(line); !flags)
             return fail(flags.error());
         if (line.arguments.size() != 1)
-            return fail(Error(ErrorCode::BadInput, line.command + " takes the name of one VM"));
+            return fail(Error(ErrorCode::BadInput, line.command + " requires exactly one VM name"));
         EventLoop loop;
         FleetConnection fleet(loop, *line.vmList, line.operatorToken);
         auto const vm = findVM(fleet, line.arguments.front());
@@ -65,7 +65,7 @@
 
 ExitCode showStatus(CommandLine const& line)
 {
-    if (auto const flags = checkFlags(line); !flags)
+    if (auto const flags = requireFleetFlags(line); !flags)
         return fail(flags.error());
     EventLoop loop;
     FleetConnection fleet(loop, *line.vmList, line.operatorToken);
@@ -88,49 +88,49 @@
 
 ExitCode drainVM(CommandLine const& line)
 {
-    return callOne(line, "drain");
+    return callNamedVM(line, "drain");
 }
 
 ExitCode undrainVM(CommandLine const& line)
 {
-    return callOne(line, "undrain");
+    return callNamedVM(line, "undrain");
 }
 
-// Only the owner of an upstream knows its load, so every daemon is asked and the
-// rows of the owners are put together.
+// Queries every daemon and merges the replies, because only the owner of an upstream reports
+// its load. The order of the rows is that of the first daemon with a result.
 ExitCode explainChat(CommandLine const& line)
 {
-    if (auto const flags = checkFlags(line); !flags)
+    if (auto const flags = requireFleetFlags(line); !flags)
         return fail(flags.error());
     if (line.arguments.size() != 3)
-        return fail(Error(ErrorCode::BadInput, "explain takes MODEL ORGANISATION CHAT"));
+        return fail(Error(ErrorCode::BadInput, "explain requires the arguments MODEL ORGANISATION CHAT"));
     EventLoop loop;
     FleetConnection fleet(loop, *line.vmList, line.operatorToken);
     auto const vms = fleet.entryVMs();
     if (!vms)
         return fail(vms.error());
     auto const parameters = Json { { "model", line.arguments[0] }, { "organisation", line.arguments[1] }, { "chat", line.arguments[2] } }.dump();
-    Json best = Json::array();
+    Json merged = Json::array();
     for (auto const& vm : *vms) {
         auto const rows = fleet.call(vm, "explain", parameters);
         if (!rows)
             continue;
         auto const parsed = Json::parse(*rows);
-        if (best.empty())
-            best = parsed;
+        if (merged.empty())
+            merged = parsed;
         for (auto const& row : parsed) {
-            auto const known = std::find_if(best.begin(), best.end(), [&](auto const& other) { return other["upstream"] == row["upstream"]; });
-            if (known != best.end() && row.contains("load"))
-                *known = row;
+            auto const existing = std::find_if(merged.begin(), merged.end(), [&](auto const& other) { return other["upstream"] == row["upstream"]; });
+            if (existing != merged.end() && row.contains("load"))
+                *existing = row;
         }
     }
-    if (best.empty())
-        return fail(Error(ErrorCode::NotFound, "no daemon knows an upstream for this model"));
+    if (merged.empty())
+        return fail(Error(ErrorCode::NotFound, "no daemon reported an upstream for model " + line.arguments[0]));
     if (line.wantsJson)
-        std::cout << best.dump() << '\n';
-    for (size_t index = 0; !line.wantsJson && index < best.size(); ++index) {
+        std::cout << merged.dump() << '\n';
+    for (size_t index = 0; !line.wantsJson && index < merged.size(); ++index) {
         std::cout << "choice=" << index + 1 << ' ';
-        printRow(best[index]);
+        printRow(merged[index]);
     }
     return ExitCode::Done;
 }
