--- a/Utilities/stagepostctl/FleetConnection.cpp
+++ b/Utilities/stagepostctl/FleetConnection.cpp
@@ -20,7 +20,7 @@
 
 Result<HttpReply> FleetConnection::fetch(Endpoint const& endpoint, HttpCall call)
 {
-    Result<HttpReply> result = Error(ErrorCode::Unreachable, "no answer");
+    Result<HttpReply> result = Error(ErrorCode::Unreachable, "no response");
     m_client.fetch(endpoint, std::move(call), callTimeout, [&](Result<HttpReply> reply) {
         result = std::move(reply);
         m_loop.stop();
@@ -50,7 +50,7 @@
         if (!reply)
             failure = reply.error();
         else if (reply->status != 200)
-            failure = Error(ErrorCode::Forged, vm.name + " answered " + std::to_string(reply->status) + ": " + reply->body);
+            failure = Error(ErrorCode::Forged, vm.name + " returned HTTP status " + std::to_string(reply->status) + ": " + reply->body);
         return reply && reply->status == 200 ? reply->body : "";
     };
     auto result = callRpc(send, method, parametersJson);
--- a/Utilities/stagepostctl/FleetConnection.h
+++ b/Utilities/stagepostctl/FleetConnection.h
@@ -7,14 +7,15 @@
 
 namespace Stagepost {
 
-// Calls the platform's list and the daemons, and waits for their answers.
+// Blocking client for the platform's VM list and the daemons' JSON-RPC interface.
 class FleetConnection {
 public:
     FleetConnection(EventLoop&, Endpoint vmList, std::string operatorToken);
 
-    // The entry VMs of the platform's list. Errors: PlatformDown, Malformed.
+    // Returns the entry VMs from the VM list. Errors: those of HttpClient::fetch() and VMList::apply().
     Result<std::vector<VMEntry>> entryVMs();
-    // The result of a JSON-RPC call, as JSON. Errors: Unreachable, BadInput.
+    // Calls a JSON-RPC method of a daemon and returns its result as JSON. Errors: those of
+    // HttpClient::fetch(); Forged for an HTTP status other than 200; BadInput for a JSON-RPC error.
     Result<std::string> call(VMEntry const&, std::string const& method, std::string const& parametersJson = "{}");
 
 private:
--- a/Utilities/stagepostctl/RpcClient.cpp
+++ b/Utilities/stagepostctl/RpcClient.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-    class Connector final : public jsonrpc::IClientConnector {
+    class CallbackConnector final : public jsonrpc::IClientConnector {
     public:
-        explicit Connector(std::function<std::string(std::string const&)> const& send)
+        explicit CallbackConnector(std::function<std::string(std::string const&)> const& send)
             : m_send(send)
         {
         }
@@ -29,7 +29,7 @@
 {
     Json::Value parameters(Json::objectValue);
     std::istringstream(parametersJson) >> parameters;
-    Connector connector(send);
+    CallbackConnector connector(send);
     jsonrpc::Client client(connector);
     try {
         Json::StreamWriterBuilder writer;
--- a/Utilities/stagepostctl/RpcClient.h
+++ b/Utilities/stagepostctl/RpcClient.h
@@ -5,14 +5,14 @@
 
 namespace Stagepost {
 
-// What a JSON-RPC call gave: the result as JSON, or the text of its error.
+// The outcome of a JSON-RPC call: the result as JSON, or an error message if `error` is not empty.
 struct RpcResult {
     std::string json;
     std::string error;
 };
 
-// Makes one JSON-RPC 2.0 call. The hook sends the text of the request and gives
-// the text of the response, or throws nothing and gives an empty text when it failed.
+// Makes one JSON-RPC 2.0 call. `send` transmits the serialized request and returns the response
+// body, or an empty string on failure; it must not throw.
 RpcResult callRpc(std::function<std::string(std::string const&)> const& send, std::string const& method, std::string const& parametersJson);
 
 }
