--- a/Utilities/stagepostctl/SettingsCommands.cpp
+++ b/Utilities/stagepostctl/SettingsCommands.cpp
@@ -18,21 +18,21 @@
 
     using Json = nlohmann::json;
 
-    constexpr unsigned settleTries = 20;
-    constexpr Milliseconds settlePause { 250 };
-    constexpr Milliseconds inForcePause { 50 };
+    constexpr unsigned recordPollAttempts = 20;
+    constexpr Milliseconds recordPollInterval { 250 };
+    constexpr Milliseconds statusPollInterval { 50 };
 
-    Result<std::string> readFile(CommandLine const& line)
+    Result<std::string> readFileArgument(CommandLine const& line)
     {
         if (line.arguments.size() != 1)
-            return Error(ErrorCode::BadInput, line.command + " takes one file");
+            return Error(ErrorCode::BadInput, line.command + " requires exactly one file name");
         std::ifstream file(line.arguments.front());
         if (!file)
-            return Error(ErrorCode::NotFound, "cannot read " + line.arguments.front());
+            return Error(ErrorCode::NotFound, "cannot open " + line.arguments.front());
         return std::string(std::istreambuf_iterator<char>(file), {});
     }
 
-    Result<Endpoint> logOf(CommandLine const& line)
+    Result<Endpoint> requireLogEndpoint(CommandLine const& line)
     {
         if (!line.log)
             return Error(ErrorCode::BadInput, "--log (or STAGEPOST_LOG) is missing");
@@ -62,7 +62,7 @@
         return "unknown";
     }
 
-    SettingsLog::Entry const* findNonce(SettingsLog const& log, std::string const& nonce)
+    SettingsLog::Entry const* findChangeByNonce(SettingsLog const& log, std::string const& nonce)
     {
         auto const found = std::find_if(log.entries().begin(), log.entries().end(), [&](auto const& entry) {
             return entry.publication.nonce == nonce && entry.publication.kind == Publication::Kind::Change;
@@ -70,40 +70,42 @@
         return found == log.entries().end() ? nullptr : &*found;
     }
 
-    // Whether the record is in the log, which a lost reply leaves open: only reading
-    // the log settles it.
-    Result<SettingsLog::Entry> settle(SettingsLog& log, std::string const& nonce)
+    // Polls the log until it contains the change with this nonce. The reply to an append may be lost,
+    // so only reading the log shows whether the record was appended. Error: PlatformDown.
+    Result<SettingsLog::Entry> waitForRecord(SettingsLog& log, std::string const& nonce)
     {
-        for (unsigned attempt = 0; attempt < settleTries; ++attempt) {
+        for (unsigned attempt = 0; attempt < recordPollAttempts; ++attempt) {
             if (log.refresh()) {
-                if (auto const* entry = findNonce(log, nonce))
+                if (auto const* entry = findChangeByNonce(log, nonce))
                     return *entry;
             }
-            std::this_thread::sleep_for(settlePause);
+            std::this_thread::sleep_for(recordPollInterval);
         }
-        return Error(ErrorCode::PlatformDown, "the log did not show the publication; run 'history' before publishing again");
+        return Error(ErrorCode::PlatformDown, "the publication was not found in the log and may still appear; run 'stagepostctl history' before publishing again");
     }
 
-    // The names of the VMs that do not serve from the revision by the end of the time.
-    std::vector<std::string> waitInForce(CommandLine const& line, EventLoop& loop, Revision revision)
+    // Polls the daemons until all of them serve this revision or a later one, or until --timeout-ms
+    // has passed. Returns the names of the VMs that do not, or a description of the failure if the
+    // VM list cannot be read.
+    std::vector<std::string> waitUntilInForce(CommandLine const& line, EventLoop& loop, Revision revision)
     {
         FleetConnection fleet(loop, *line.vmList, line.operatorToken);
         auto const end = MonotonicClock::now() + Milliseconds(line.timeoutMs);
         while (true) {
-            std::vector<std::string> missing;
+            std::vector<std::string> outdatedVMs;
             auto const vms = fleet.entryVMs();
             if (!vms)
-                return { "the list of VMs (" + vms.error().message() + ')' };
+                return { "unknown VMs: cannot read the VM list (" + vms.error().message() + ')' };
             for (auto const& vm : *vms) {
                 auto const status = fleet.call(vm, "status");
                 if (!status || Json::parse(*status).value("revision", uint64_t { 0 }) < revision.value())
-                    missing.push_back(vm.name);
+                    outdatedVMs.push_back(vm.name);
             }
-            if (missing.empty() || MonotonicClock::now() >= end)
-                return missing;
+            if (outdatedVMs.empty() || MonotonicClock::now() >= end)
+                return outdatedVMs;
             if (isatty(STDERR_FILENO))
-                std::cerr << "\rwaiting for " << missing.size() << " of " << vms->size() << " VMs " << std::flush;
-            std::this_thread::sleep_for(inForcePause);
+                std::cerr << "\rwaiting for " << outdatedVMs.size() << " of " << vms->size() << " VMs " << std::flush;
+            std::this_thread::sleep_for(statusPollInterval);
         }
     }
 
@@ -113,16 +115,16 @@
             std::cout << "revision=" << revision.value() << " accepted=true in_force=unknown\n";
             return ExitCode::Done;
         }
-        auto const missing = waitInForce(line, loop, revision);
-        std::cout << "revision=" << revision.value() << " accepted=true in_force=" << (missing.empty() ? "true" : "false") << '\n';
-        for (auto const& name : missing)
+        auto const outdatedVMs = waitUntilInForce(line, loop, revision);
+        std::cout << "revision=" << revision.value() << " accepted=true in_force=" << (outdatedVMs.empty() ? "true" : "false") << '\n';
+        for (auto const& name : outdatedVMs)
             std::cerr << "not in force on " << name << '\n';
-        return missing.empty() ? ExitCode::Done : ExitCode::NotInForce;
+        return outdatedVMs.empty() ? ExitCode::Done : ExitCode::NotInForce;
     }
 
-    // What the new tree no longer has: callers of it are refused as soon as the
-    // tree is in force.
-    std::vector<std::string> removalsOf(std::string const& inForce, SettingsTree const& next)
+    // Returns the organisations, pools and services that are missing from the new tree. Their
+    // requests are refused as soon as the tree is in force.
+    std::vector<std::string> findRemovedNodes(std::string const& inForce, SettingsTree const& next)
     {
         std::vector<std::string> removed;
         auto const before = SettingsTree::parse(inForce);
@@ -142,7 +144,7 @@
     {
         if (line.allowsRemovals || !log.accepted())
             return {};
-        auto const removed = removalsOf(log.accepted()->toml, next);
+        auto const removed = findRemovedNodes(log.accepted()->toml, next);
         if (removed.empty())
             return {};
         std::string detail = "this would take away";
@@ -161,7 +163,7 @@
 
 ExitCode checkFile(CommandLine const& line)
 {
-    auto const text = readFile(line);
+    auto const text = readFileArgument(line);
     if (!text)
         return fail(text.error());
     if (auto const tree = parseValidTree(*text); !tree)
@@ -175,20 +177,20 @@
     std::string token;
     std::getline(std::cin, token);
     if (token.empty())
-        return fail(Error(ErrorCode::BadInput, "no token on standard input"));
+        return fail(Error(ErrorCode::BadInput, "expected a token on standard input"));
     std::cout << hashOfToken(token) << '\n';
     return ExitCode::Done;
 }
 
 ExitCode publishFile(CommandLine const& line)
 {
-    auto const text = readFile(line);
+    auto const text = readFileArgument(line);
     if (!text)
         return fail(text.error());
     auto const tree = parseValidTree(*text);
     if (!tree)
         return fail(tree.error(), ExitCode::Usage);
-    auto const endpoint = logOf(line);
+    auto const endpoint = requireLogEndpoint(line);
     if (!endpoint)
         return fail(endpoint.error());
     EventLoop loop;
@@ -196,7 +198,7 @@
     if (auto const read = log.refresh(); !read)
         return fail(read.error());
     if (!log.accepted() && !line.base)
-        return fail(Error(ErrorCode::NotFound, "the log no longer shows what is in force; give --base"));
+        return fail(Error(ErrorCode::NotFound, "the records retained in the log do not determine the revision in force; specify --base"));
     if (auto const allowed = checkRemovals(line, log, *tree); !allowed)
         return fail(allowed.error());
     Publication publication;
@@ -207,19 +209,19 @@
     auto const appended = log.append(publication);
     if (!appended && appended.error().code == make_error_code(ErrorCode::Unreachable))
         return fail(appended.error());
-    auto const entry = settle(log, publication.nonce);
+    auto const entry = waitForRecord(log, publication.nonce);
     if (!entry)
         return fail(entry.error());
     if (entry->outcome == PublicationReader::Outcome::Accepted)
         return reportInForce(line, loop, entry->revision);
-    std::cerr << "stagepostctl: not accepted (" << nameOf(entry->outcome) << "): made from revision " << publication.revision.value()
-              << ", in force is " << entry->revision.value() << "; look at 'diff' and publish again\n";
+    std::cerr << "stagepostctl: publication not accepted (" << nameOf(entry->outcome) << "): based on revision " << publication.revision.value()
+              << ", revision in force " << entry->revision.value() << "; run 'stagepostctl diff' and publish again\n";
     return ExitCode::Conflict;
 }
 
 ExitCode showSettings(CommandLine const& line)
 {
-    auto const endpoint = logOf(line);
+    auto const endpoint = requireLogEndpoint(line);
     if (!endpoint)
         return fail(endpoint.error());
     EventLoop loop;
@@ -227,7 +229,7 @@
     if (auto const read = log.refresh(); !read)
         return fail(read.error());
     if (!log.accepted() || log.accepted()->revision.isNull())
-        return fail(Error(ErrorCode::NotFound, "nothing has been published"));
+        return fail(Error(ErrorCode::NotFound, "no settings have been published"));
     if (line.arguments.empty()) {
         std::cout << log.accepted()->toml;
         return ExitCode::Done;
@@ -255,8 +257,8 @@
 
 ExitCode showDifference(CommandLine const& line)
 {
-    auto const text = readFile(line);
-    auto const endpoint = logOf(line);
+    auto const text = readFileArgument(line);
+    auto const endpoint = requireLogEndpoint(line);
     if (!text || !endpoint)
         return fail(text ? endpoint.error() : text.error());
     auto const after = parseValidTree(*text);
@@ -276,7 +278,7 @@
 
 ExitCode showHistory(CommandLine const& line)
 {
-    auto const endpoint = logOf(line);
+    auto const endpoint = requireLogEndpoint(line);
     if (!endpoint)
         return fail(endpoint.error());
     EventLoop loop;
--- a/Utilities/stagepostctl/SettingsLog.cpp
+++ b/Utilities/stagepostctl/SettingsLog.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    constexpr size_t batchSize = 100;
+    constexpr size_t maxRecordsPerRead = 100;
 
     bool isValidTree(std::string const& toml)
     {
@@ -32,8 +32,8 @@
 
 Result<LogBatch> SettingsLog::readBatch()
 {
-    Result<LogBatch> result = Error(ErrorCode::PlatformDown, "no answer");
-    m_log.read(settingsStream, m_reader.position(), batchSize, Milliseconds(0), [&](Result<LogBatch> batch) {
+    Result<LogBatch> result = Error(ErrorCode::PlatformDown, "no response from the log");
+    m_log.read(settingsStream, m_reader.position(), maxRecordsPerRead, Milliseconds(0), [&](Result<LogBatch> batch) {
         result = std::move(batch);
         m_loop.stop();
     });
@@ -63,7 +63,7 @@
 
 Result<Offset> SettingsLog::append(Publication const& publication)
 {
-    Result<Offset> result = Error(ErrorCode::PlatformDown, "no answer");
+    Result<Offset> result = Error(ErrorCode::PlatformDown, "no response from the log");
     m_log.append(settingsStream, publication.toRecord(), [&](Result<Offset> offset) {
         result = std::move(offset);
         m_loop.stop();
--- a/Utilities/stagepostctl/SettingsLog.h
+++ b/Utilities/stagepostctl/SettingsLog.h
@@ -9,7 +9,7 @@
 
 namespace Stagepost {
 
-// The settings stream of the log, read to its end by calls that wait.
+// Blocking reader and writer of the settings stream in the platform's log.
 class SettingsLog {
 public:
     struct Entry {
@@ -21,9 +21,9 @@
 
     SettingsLog(EventLoop&, Endpoint log);
 
-    // Reads what is new. Error: PlatformDown.
+    // Reads all records appended since the last call. Error: PlatformDown.
     Result<void> refresh();
-    // Appends a publication. Errors: those of LogClient::append.
+    // Appends a publication. Errors: those of LogClient::append().
     Result<Offset> append(Publication const&);
 
     std::optional<AcceptedSettings> const& accepted() const { return m_reader.accepted(); }
@@ -39,7 +39,7 @@
     std::vector<Entry> m_entries;
 };
 
-// Whether a text is a tree that daemons accept.
+// Parses a settings tree and validates it by the rules that the daemons apply.
 Result<SettingsTree> parseValidTree(std::string const& toml);
 
 }
