--- a/Meta/stagepost.sh
+++ b/Meta/stagepost.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# One entry for everything that one does with the project; see usage below.
+# The entry point for building, testing, running and measuring the project; see usage().
 set -euo pipefail
 cd "$(dirname "${BASH_SOURCE[0]}")/.."
 
@@ -14,18 +14,20 @@
 usage() {
     cat <<'TEXT'
 usage: Meta/stagepost.sh COMMAND
-  deps          installs the packages that are missing (apt, as root)
-  build         installs what is missing and builds everything
-  run           starts stand-ins and two daemons on loopback, until Ctrl-C
-  test          installs, builds and passes every test
-  lint          checks formatting and runs the linter
-  model-check   has spin check the specifications
-  day BENCH SITE DAY  plays a day of the users' platform; BENCH is the path of their bench
-  days BENCH SITE     plays all days under deploy/days, a line each
-  soak FIRST LAST [SECONDS [JOBS]]  runs the fault soak with these seeds; without any, with one fresh one
-  experiment BENCH --site SITE --day DAY --variant NAME[:POLICIES] ...  compares variants on the
-                same days and seeds; see Meta/experiment.py --help
-  measure WHAT  proxy, placement, once, membership, capacity or all; --quick for a short run
+  deps          installs missing packages (with apt, as root)
+  build         installs missing packages and builds everything
+  run           runs two daemons and test servers for the platform on loopback until Ctrl-C
+  test          installs missing packages, builds everything and runs the tests
+  lint          checks the formatting and the use of clocks, and runs clang-tidy
+  model-check   verifies the specifications with spin
+  day BENCH SITE DAY  runs one day scenario on the users' platform bench; BENCH is its path
+  days BENCH SITE     runs all day scenarios in deploy/days and prints one line for each
+  soak [FIRST [LAST [SECONDS [JOBS]]]]  runs the fault-injection soak test with the seeds FIRST to
+                LAST (default: one seed from the clock, 30 seconds, 4 jobs)
+  experiment BENCH --site SITE --day DAY --variant NAME[:POLICIES] ...  compares policy variants
+                on the same days and seeds; see Meta/experiment.py --help
+  measure WHAT  runs the benchmark proxy, placement, once, membership, capacity, or all of the first
+                four; --quick for a short run
 TEXT
 }
 
@@ -48,21 +50,20 @@
     cmake --build "$build"
 }
 
-# Starts a program in the background and remembers it, so that all of them end
-# with this script.
-started=()
+# Starts a program in the background and records its process id for stop_all().
+child_pids=()
 start() {
     "$@" &
-    started+=($!)
+    child_pids+=($!)
 }
 
 stop_all() {
     trap - EXIT INT TERM
-    for pid in "${started[@]}"; do
+    for pid in "${child_pids[@]}"; do
         kill -TERM "$pid" 2>/dev/null || true
     done
     wait
-    echo "all stopped"
+    echo "all processes stopped"
 }
 
 wait_for() {
@@ -72,7 +73,7 @@
         "$@" >/dev/null 2>&1 && return 0
         sleep 0.1
     done
-    echo "$what did not come up" >&2
+    echo "timed out waiting for $what" >&2
     return 1
 }
 
@@ -88,7 +89,7 @@
     start "$stand_in" engine 127.0.0.1:18111 engine-1 50 >/dev/null
     start "$stand_in" engine 127.0.0.1:18112 engine-2 50 >/dev/null
     start "$stand_in" service 127.0.0.1:18121 >/dev/null
-    wait_for "the list of VMs" curl -sf "http://$STAGEPOST_VM_LIST/v1/vms"
+    wait_for "the VM list" curl -sf "http://$STAGEPOST_VM_LIST/v1/vms"
     curl -sf "http://$STAGEPOST_VM_LIST/v1/vms" -d '[
       {"name":"entry-1","hall":"north","role":"entry","state":"live","endpoint":"127.0.0.1:18081","peer":"127.0.0.1:18091"},
       {"name":"entry-2","hall":"north","role":"entry","state":"live","endpoint":"127.0.0.1:18082","peer":"127.0.0.1:18092"},
@@ -107,30 +108,30 @@
     wait_for "entry-1" curl -sf http://127.0.0.1:18081/readyz
     cat <<TEXT
 
-Both daemons serve. In another terminal:
+Both daemons are serving. To send requests, run in another terminal:
   curl -N http://127.0.0.1:18081/v1/chat/completions -H 'Authorization: Bearer harbour-demo-token' -d '{"model":"small","stream":true,"messages":[{"role":"user","content":"73"}]}'
   curl http://127.0.0.1:18082/services/callbook/lookup -H 'Authorization: Bearer upland-demo-token'
   export STAGEPOST_LOG=$STAGEPOST_LOG STAGEPOST_VM_LIST=$STAGEPOST_VM_LIST STAGEPOST_OPERATOR_TOKEN=$STAGEPOST_OPERATOR_TOKEN
   $ctl status
-Ctrl-C ends all of it.
+Press Ctrl-C to stop all processes.
 TEXT
     wait
 }
 
-# Starts a program that prints the address it took as its first line, and leaves
-# that address in $address.
+# Starts a test server, which prints its listening address as its first line, and stores that
+# address in $address.
 start_stand_in() {
     local output
     output=$(mktemp)
     "$build/Tests/StandIns/stagepost-stand-in" "$@" >"$output" &
-    started+=($!)
+    child_pids+=($!)
     wait_for "$1" test -s "$output"
     address=$(<"$output")
     rm "$output"
 }
 
-# Starts the platform's stand-ins for a measurement, which end with the script.
-start_measured_platform() {
+# Starts test servers for the platform's log and VM list; they are stopped when the script exits.
+start_benchmark_platform() {
     trap stop_all EXIT INT TERM
     export STAGEPOST_KEY=a-key-for-measuring STAGEPOST_OPERATOR_TOKEN=an-operator-token
     start_stand_in log 127.0.0.1:0
@@ -139,16 +140,16 @@
     export STAGEPOST_VM_LIST=$address
 }
 
-# Starts one daemon with engines of three paces and a plain service, and leaves
-# their addresses and the daemon's process id in $daemon, $engine and $pid.
-start_measured_daemon() {
-    # A thousand streams take a few thousand descriptors.
+# Starts one daemon with three engines of different speeds and an HTTP service. Stores the daemon's
+# address and process id in $daemon and $pid, and the address of the fast engine in $engine.
+start_benchmark_daemon() {
+    # A thousand concurrent streams need a few thousand file descriptors.
     ulimit -n "$(ulimit -Hn)"
-    start_measured_platform
-    local vms='[' model pace output
+    start_benchmark_platform
+    local vms='[' model token_interval output
     for model in fast:0 paced:28 slow:1000; do
-        pace=${model#*:} model=${model%:*}
-        start_stand_in engine 127.0.0.1:0 "$model" "$pace"
+        token_interval=${model#*:} model=${model%:*}
+        start_stand_in engine 127.0.0.1:0 "$model" "$token_interval"
         [[ $model == fast ]] && engine=$address
         vms+="{\"name\":\"$model\",\"hall\":\"north\",\"role\":\"upstream\",\"state\":\"live\",\"endpoint\":\"$address\",\"serves\":\"pools.$model\"},"
     done
@@ -158,7 +159,7 @@
     output=$(mktemp)
     "$build/Services/stagepostd/stagepostd" --name entry-1 --hall north --listen 127.0.0.1:0 --peer-listen 127.0.0.1:0 >"$output" &
     pid=$!
-    started+=("$pid")
+    child_pids+=("$pid")
     wait_for "the daemon" grep -q event=started "$output"
     daemon=$(sed -n 's/.*event=started.* listen=\([^ ]*\).*/\1/p' "$output")
     local hash settings
@@ -171,20 +172,21 @@
     sleep 0.5
 }
 
-# Measures a daemon that runs as a process of its own.
-measure_daemon() {
+# Runs a benchmark against a daemon in a separate process.
+benchmark_daemon() {
     local what=$1 daemon engine pid
     shift
-    start_measured_daemon
+    start_benchmark_daemon
     "$build/Meta/Measure/stagepost-measure" "$what" --daemon "$daemon" --engine "$engine" --pid "$pid" --token measuring "$@"
 }
 
-# Starts one daemon more and adds its address to $daemons; its log may be another.
+# Starts a daemon that uses the given log, adds it to the VM list, and appends its address to
+# $daemons.
 start_listed_daemon() {
     local name=$1 hall=$2 log=$3 output peer
     output=$(mktemp)
     "$build/Services/stagepostd/stagepostd" --name "$name" --hall "$hall" --listen 127.0.0.1:0 --peer-listen 127.0.0.1:0 --log "$log" >"$output" &
-    started+=($!)
+    child_pids+=($!)
     wait_for "$name" grep -q event=started "$output"
     address=$(sed -n 's/.*event=started.* listen=\([^ ]*\).*/\1/p' "$output")
     peer=$(sed -n 's/.*event=started.* peer_listen=\([^ ]*\).*/\1/p' "$output")
@@ -192,11 +194,11 @@
     daemons+=${daemons:+,}$address
 }
 
-# Seconds until a change is in force on six real daemons, the last of which cannot
-# reach the log.
+# Measures the time until a settings change is in force on six daemon processes, the last of which
+# cannot reach the log.
 measure_in_force() {
     local daemons='' number settings
-    start_measured_platform
+    start_benchmark_platform
     for number in 1 2 3 4 5; do
         start_listed_daemon "entry-$number" "hall-$((number % 2))" "$STAGEPOST_LOG"
     done
@@ -223,7 +225,7 @@
             bash Meta/stagepost.sh measure "$part" "$@" >&3
         done
         ;;
-    proxy | once) (measure_daemon "$what" "$@" | grep = >&3) ;;
+    proxy | once) (benchmark_daemon "$what" "$@" | grep = >&3) ;;
     *) "$build/Meta/Measure/stagepost-measure" "$what" "$@" >&3 ;;
     esac
 } 3>&1 >/dev/null
@@ -231,7 +233,7 @@
 run_tests() {
     build
     if [[ -s KNOWN-RED.txt ]]; then
-        echo "known to fail, left out below:"
+        echo "known failures, excluded from this run:"
         cat KNOWN-RED.txt
     fi
     ctest --test-dir "$build" --output-on-failure -j "$(nproc)"
@@ -241,13 +243,14 @@
     git ls-files --cached --others --exclude-standard -- '*.cpp' '*.h'
 }
 
-# Ages and deadlines count the time that a VM is suspended: LibBase's clock is the only one that does.
+# Ages and deadlines must include the time during which a VM is suspended, and MonotonicClock from
+# LibBase is the only permitted clock that does.
 lint_clocks() {
     local found
     found=$(git grep -nE 'steady_clock|steady_timer|high_resolution_clock|CLOCK_(MONOTONIC|BOOTTIME)' -- Libraries Services platform Utilities \
         | grep -vE '^Libraries/(LibBase/Time\.(h|cpp)|LibProxy/Detail/Native\.h):' || true)
     [[ -z $found ]] && return
-    echo "use MonotonicClock, or TransferClock where it may be:" >&2
+    echo "these lines use a clock that lint does not permit; use MonotonicClock, or TransferClock where that is allowed:" >&2
     echo "$found" >&2
     return 1
 }
@@ -257,15 +260,15 @@
     [[ -f $build/build.ninja ]] || cmake -S . -B "$build" -G Ninja -DCMAKE_CXX_COMPILER_LAUNCHER=ccache
     sources | xargs clang-format-14 --dry-run -Werror
     lint_clocks
-    # The linter cannot read the compiler's precompiled headers.
+    # clang-tidy cannot read GCC's precompiled headers.
     mkdir -p "$build/lint"
     sed -E 's/-Winvalid-pch -include [^ ]*cmake_pch\.hxx//' "$build/compile_commands.json" >"$build/lint/compile_commands.json"
     sources | grep '\.cpp$' | xargs -P "$(nproc)" -n 1 clang-tidy-16 -p "$build/lint" --quiet --extra-arg=-Wno-unknown-warning-option 2> >(grep -v 'warnings generated' >&2)
 }
 
-# Plays every day of our own on a site and prints what became of each. Fails where
-# a rule was broken or the bench could not play one.
-play_days() {
+# Runs each day scenario in deploy/days on a site and prints its result. Fails if a rule was broken
+# or the bench could not run a scenario.
+run_days() {
     local bench=$1 site=$2 day output result=0
     for day in deploy/days/*.toml; do
         output=$("$bench" run "$site" "$day" --why "own day $(basename "$day" .toml)" 2>&1) || result=1
@@ -275,15 +278,15 @@
     return "$result"
 }
 
-# Runs the fault soak, some seeds beside one another, and fails where one broke a
-# promise. A broken one keeps its logs and says where.
+# Runs the fault-injection soak test with several seeds in parallel, and fails if a seed violates a
+# guarantee. A failing seed keeps its logs and prints their location.
 soak() {
     build >/dev/null
     export STAGEPOST_BUILD=$PWD/$build
-    local fresh
-    fresh=$(date +%s)
+    local default_seed
+    default_seed=$(date +%s)
     cd Tests/Soak
-    seq "${1:-$fresh}" "${2:-${1:-$fresh}}" | xargs -P "${4:-4}" -I{} python3 -B soak.py --seed {} --seconds "${3:-30}"
+    seq "${1:-$default_seed}" "${2:-${1:-$default_seed}}" | xargs -P "${4:-4}" -I{} python3 -B soak.py --seed {} --seconds "${3:-30}"
 }
 
 case ${1:-} in
@@ -294,7 +297,7 @@
     ;;
 days)
     (($# == 3)) || { usage; exit 2; }
-    play_days "$2" "$3"
+    run_days "$2" "$3"
     ;;
 build) build ;;
 run) run ;;
