--- a/Meta/model-check.sh
+++ b/Meta/model-check.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Has spin check each property of the specifications, and has it refute a broken
-# variant for each, so that the check is known to be able to fail.
+# Verifies the properties of the specifications with spin, and checks that spin finds a
+# violation in each faulty variant, which shows that the check can fail.
 set -euo pipefail
 cd "$(dirname "${BASH_SOURCE[0]}")/.."
 work=$(mktemp -d)
@@ -18,7 +18,8 @@
         flags+=(-DSAFETY)
     else
         run+=(-a -N "$property")
-        # Liveness counts only where no process is kept waiting for ever.
+        # Liveness properties only hold under weak fairness, i.e. if no enabled process is
+        # delayed forever (-f).
         [[ $property == answer || $property == freed ]] && run+=(-f) && flags+=(-DNFAIR=4)
     fi
     (cd "$directory" && spin -a ${variant:+-D$variant} model.pml >spin.log 2>&1 && gcc "${flags[@]}" -o pan pan.c 2>gcc.log && timeout 300 "${run[@]}" >pan.log 2>&1) || true
