--- a/Meta/CMake/StagepostPackages.cmake
+++ b/Meta/CMake/StagepostPackages.cmake
@@ -1,5 +1,5 @@
-# Helpers that give every library, binary and test the same warnings, include
-# root, precompiled headers and export set.
+# Finds the dependencies, and defines functions that apply the common compiler warnings,
+# include directories, precompiled headers and export set to targets.
 find_package(Boost 1.81 REQUIRED)
 find_package(spdlog REQUIRED)
 find_package(tomlplusplus REQUIRED)
@@ -10,11 +10,12 @@
 pkg_check_modules(xxhash REQUIRED IMPORTED_TARGET libxxhash)
 pkg_check_modules(zstd REQUIRED IMPORTED_TARGET libzstd)
 
-# GCC 12 takes the frame allocator of Boost.Asio's coroutines for a mismatched one.
+# GCC 12 reports a false -Wmismatched-new-delete for the frame allocator of Boost.Asio's
+# coroutines.
 set(STAGEPOST_WARNINGS -Wall -Wextra $<$<BOOL:${STAGEPOST_DEVELOPER}>:-Werror> -Wno-missing-field-initializers -Wno-mismatched-new-delete)
 
-# Boost.Asio and Beast cost ten seconds a file, so the files that use them share
-# one precompiled header; no public header includes them.
+# Boost.Asio and Beast add about ten seconds of compile time per file, so targets that use
+# them precompile their headers. No public header includes them.
 set(STAGEPOST_ASIO_PRECOMPILED
     <boost/asio.hpp> <boost/beast/core.hpp> <boost/beast/http.hpp>)
 
@@ -22,7 +23,8 @@
     target_compile_options(${target} PRIVATE ${STAGEPOST_WARNINGS})
 endfunction()
 
-# stagepost_library(Routing SOURCES a.cpp DEPENDS Base PRIVATE_DEPENDS x)
+# Defines a static library with its alias, export and install rules:
+#   stagepost_library(Routing [ASIO] SOURCES a.cpp DEPENDS Base PRIVATE_DEPENDS x)
 function(stagepost_library name)
     cmake_parse_arguments(ARG "ASIO" "" "SOURCES;DEPENDS;PRIVATE_DEPENDS" ${ARGN})
     set(target Stagepost${name})
