--- a/Specifications/ColdOwners.pml
+++ b/Specifications/ColdOwners.pml
@@ -1,86 +1,89 @@
-/* The owners of one upstream that is cold, while daemons come and go.
+/* Rate limiting of a cold upstream while its ownership moves to a daemon that joins.
  *
- * Time goes in ticks; a second has two of them. A request takes up to one tick from its grant to the
- * upstream. A newcomer joins that goes before the owner so far. It takes itself for the owner at
- * once, the other one learns of it within VIEW ticks, and whoever has a request asks either of them
- * at any time. An owner grants a part within each window, by whether it is the first for sure.
+ * Time advances in ticks, two per second. A request reaches the upstream at most one tick after its
+ * grant. The joining daemon precedes the current owner in the order of owners. It considers itself
+ * the owner immediately; the former owner learns of it within MAX_VIEW_DELAY ticks. Either of them may
+ * be asked for a grant at any time. The former owner grants OWNER_QUOTA per window until it learns of
+ * the joining daemon, then NON_OWNER_QUOTA. The joining daemon grants NON_OWNER_QUOTA until the former
+ * owner's earlier grants have left the window, then OWNER_QUOTA.
  *
- * Asserted: in any second the upstream sees no more than it may.
+ * Asserted: the upstream receives no more than MAX_ARRIVALS requests in any second.
  *
- * Broken variants, each of which spin has to refute:
- *   -DSETTLED_AT_ONCE   a newcomer grants the owner's part from its start
- *   -DNARROW_WINDOW     grants are counted within a second, as if they arrived at once
- *   -DEQUAL_PARTS       whoever is asked grants the owner's part
+ * Faulty variants, for each of which spin must find a violation:
+ *   -DSETTLED_AT_ONCE   the joining daemon grants the owner's quota from its start
+ *   -DNARROW_WINDOW     grants are counted over one second, as if requests arrived immediately
+ *   -DEQUAL_PARTS       both daemons grant the owner's quota
  */
-#define LATEST 9
-#define VIEW 2
-#define FOR_OWNER 2
-#define FOR_NEXT 1
-#define MOST (FOR_OWNER + FOR_NEXT)
+#define LAST_TICK 9
+#define MAX_VIEW_DELAY 2
+#define OWNER_QUOTA 2
+#define NON_OWNER_QUOTA 1
+#define MAX_ARRIVALS (OWNER_QUOTA + NON_OWNER_QUOTA)
 
 byte now = 0;
-/* Arrivals in the tick before, in this one and in the next one. */
+/* Requests that arrive at the upstream in the previous, the current and the next tick. */
 byte arrivedBefore = 0;
 byte arrivesNow = 0;
 byte arrivesNext = 0;
 
 byte joinedAt = 0;
 bool hasJoined = false;
-bool isKnown = false;
+bool isJoinKnown = false;
 
-/* Grants of this tick, of the one before and of the one before that: of the owner so far, and of
- * the newcomer. */
+/* Grants in the current tick and in the two before it, by the former owner (0) and by the joining
+ * daemon (1). */
 typedef Grants {
-    byte inThis;
-    byte inLast;
-    byte inSecondLast;
+    byte thisTick;
+    byte lastTick;
+    byte twoTicksAgo;
 }
 Grants grants[2];
 
 #ifdef NARROW_WINDOW
-#define IN_WINDOW(owner) (grants[owner].inThis + grants[owner].inLast)
+#define IN_WINDOW(owner) (grants[owner].thisTick + grants[owner].lastTick)
 #else
-#define IN_WINDOW(owner) (grants[owner].inThis + grants[owner].inLast + grants[owner].inSecondLast)
+#define IN_WINDOW(owner) (grants[owner].thisTick + grants[owner].lastTick + grants[owner].twoTicksAgo)
 #endif
 
 #ifdef EQUAL_PARTS
-#define PART_OF_FORMER FOR_OWNER
-#define PART_OF_NEWCOMER FOR_OWNER
+#define QUOTA_OF_FORMER OWNER_QUOTA
+#define QUOTA_OF_JOINING OWNER_QUOTA
 #else
-#define PART_OF_FORMER (isKnown -> FOR_NEXT : FOR_OWNER)
+#define QUOTA_OF_FORMER (isJoinKnown -> NON_OWNER_QUOTA : OWNER_QUOTA)
 #ifdef SETTLED_AT_ONCE
-#define PART_OF_NEWCOMER FOR_OWNER
+#define QUOTA_OF_JOINING OWNER_QUOTA
 #else
-/* Once the former owner knows for sure, what it granted before has left the window as well. */
-#define PART_OF_NEWCOMER (now - joinedAt > VIEW + 2 -> FOR_OWNER : FOR_NEXT)
+/* MAX_VIEW_DELAY ticks until the former owner has certainly learnt of the change, and two more until its
+ * earlier grants have left the window. */
+#define QUOTA_OF_JOINING (now - joinedAt > MAX_VIEW_DELAY + 2 -> OWNER_QUOTA : NON_OWNER_QUOTA)
 #endif
 #endif
 
-inline turn(owner) {
-    grants[owner].inSecondLast = grants[owner].inLast;
-    grants[owner].inLast = grants[owner].inThis;
-    grants[owner].inThis = 0
+inline shiftWindow(owner) {
+    grants[owner].twoTicksAgo = grants[owner].lastTick;
+    grants[owner].lastTick = grants[owner].thisTick;
+    grants[owner].thisTick = 0
 }
 
 active proctype Clock() {
     do
     :: atomic {
-        now < LATEST && !(hasJoined && !isKnown && now - joinedAt >= VIEW) ->
+        now < LAST_TICK && !(hasJoined && !isJoinKnown && now - joinedAt >= MAX_VIEW_DELAY) ->
         now++;
         arrivedBefore = arrivesNow;
         arrivesNow = arrivesNext;
         arrivesNext = 0;
-        turn(0);
-        turn(1);
-        assert(arrivedBefore + arrivesNow <= MOST)
+        shiftWindow(0);
+        shiftWindow(1);
+        assert(arrivedBefore + arrivesNow <= MAX_ARRIVALS)
        }
-    :: now == LATEST -> break
+    :: now == LAST_TICK -> break
     od
 }
 
-active proctype Newcomer() {
+active proctype JoiningDaemon() {
     atomic { hasJoined = true; joinedAt = now };
-    isKnown = true
+    isJoinKnown = true
 }
 
 inline arrive() {
@@ -88,13 +91,13 @@
     :: arrivesNow++
     :: arrivesNext++
     fi;
-    assert(arrivedBefore + arrivesNow <= MOST)
+    assert(arrivedBefore + arrivesNow <= MAX_ARRIVALS)
 }
 
-active proctype Askers() {
+active proctype Requesters() {
     do
-    :: atomic { now < LATEST && IN_WINDOW(0) < PART_OF_FORMER -> grants[0].inThis++; arrive() }
-    :: atomic { now < LATEST && hasJoined && IN_WINDOW(1) < PART_OF_NEWCOMER -> grants[1].inThis++; arrive() }
-    :: now == LATEST -> break
+    :: atomic { now < LAST_TICK && IN_WINDOW(0) < QUOTA_OF_FORMER -> grants[0].thisTick++; arrive() }
+    :: atomic { now < LAST_TICK && hasJoined && IN_WINDOW(1) < QUOTA_OF_JOINING -> grants[1].thisTick++; arrive() }
+    :: now == LAST_TICK -> break
     od
 }
--- a/Specifications/EmptiedHalls.pml
+++ b/Specifications/EmptiedHalls.pml
@@ -1,95 +1,95 @@
-/* An operator's order to empty a hall, its taking back, and two daemons: one reads the platform's
- * orders, the other is told of them, and asks an upstream's owner before it sends.
+/* An operator's order to empty a hall and its withdrawal, and two daemons: one reads the orders from
+ * the platform, the other queries the first one and obtains a grant from an upstream's owner before
+ * it sends a request.
  *
- * The operator gives the order, takes it back and gives it again; each has a higher position. The
- * reader reads at any time and knows as of when it sent the read. It tells the other daemon, which
- * asked at a time of its own; what is told is on its way for as long as it likes and may overtake
- * what was told before, and so does the reader's late answer. An owner's grant is on its way too.
+ * The operator issues the order, withdraws it and issues it again, each time at a higher position.
+ * The reader may read at any time. Its replies to the querying daemon carry the time of the query,
+ * may be delayed arbitrarily and may arrive out of order. A grant may be delayed as well.
  *
- * Asserted wherever the told daemon sends to the hall and can prove that what it knows of the orders
- * is not older than the bound: that the hall was not emptied longer ago than the bound. A daemon that
- * cannot prove that is not bound by the rule and serves on.
+ * Asserted whenever the querying daemon sends a request to the hall and can prove that its knowledge
+ * of the orders is not older than BOUND: the hall was not emptied longer than BOUND ago. A daemon that
+ * cannot prove this is exempt and continues to serve.
  *
- * Broken variants, each of which spin has to refute:
- *   -DBY_ARRIVAL       what arrives last counts, whatever its position
- *   -DGRANT_OUTLIVES   a grant is used as it was given, whatever was learnt since
- *   -DAGE_ON_ARRIVAL   what was told counts as proven when it arrives
+ * Faulty variants, for each of which spin must find a violation:
+ *   -DBY_ARRIVAL       the reply that arrives last is applied, regardless of its position
+ *   -DGRANT_OUTLIVES   a grant is used without checking what was learnt since it was given
+ *   -DAGE_ON_ARRIVAL   a reply counts as proven at the time of its arrival
  */
-#define LATEST 5
+#define LAST_TIME 5
 #define BOUND 2
-#define ORDERS 3
+#define MAX_POSITION 3
 
 byte now = 0;
-/* Odd positions empty the hall, even ones take that back. */
+/* Orders at odd positions empty the hall, those at even positions withdraw that. */
 byte position = 0;
 byte emptiedAt = 0;
-#define IS_EMPTIED(place) ((place) % 2 == 1)
+#define IS_EMPTIED(orderPosition) ((orderPosition) % 2 == 1)
 
-/* What is on its way to the told daemon: up to two at once, in any order. */
-typedef Told {
-    bool isThere;
-    byte place;
-    byte stamp;
+/* Replies in transit to the querying daemon: at most two, delivered in any order. */
+typedef Reply {
+    bool isInTransit;
+    byte orderPosition;
+    byte queriedAt;
 }
-Told told[2];
+Reply replies[2];
 
-byte knownPlace = 0;
+byte knownPosition = 0;
 byte provenAt = 0;
 bool isGranted = false;
 
 active proctype Clock() {
     do
-    :: atomic { now < LATEST -> now++ }
-    :: now == LATEST -> break
+    :: atomic { now < LAST_TIME -> now++ }
+    :: now == LAST_TIME -> break
     od
 }
 
 active proctype Operator() {
     do
     :: atomic {
-        position < ORDERS ->
+        position < MAX_POSITION ->
         position++;
         if
         :: IS_EMPTIED(position) -> emptiedAt = now
         :: else
         fi
        }
-    :: now == LATEST -> break
+    :: now == LAST_TIME -> break
     od
 }
 
-/* The told daemon's ask arrives, the reader reads after that and answers with the ask's own time. */
+/* Receives a query, reads the orders after that, and replies with the time of the query. */
 active proctype Reader() {
-    byte stamp;
-    byte place;
+    byte queriedAt;
+    byte orderPosition;
     do
-    :: stamp = now;
-       place = position;
+    :: queriedAt = now;
+       orderPosition = position;
        if
-       :: atomic { !told[0].isThere -> told[0].isThere = true; told[0].place = place; told[0].stamp = stamp }
-       :: atomic { !told[1].isThere -> told[1].isThere = true; told[1].place = place; told[1].stamp = stamp }
-       :: now == LATEST -> break
+       :: atomic { !replies[0].isInTransit -> replies[0].isInTransit = true; replies[0].orderPosition = orderPosition; replies[0].queriedAt = queriedAt }
+       :: atomic { !replies[1].isInTransit -> replies[1].isInTransit = true; replies[1].orderPosition = orderPosition; replies[1].queriedAt = queriedAt }
+       :: now == LAST_TIME -> break
        fi
-    :: now == LATEST -> break
+    :: now == LAST_TIME -> break
     od
 }
 
-inline take(number) {
+inline receiveReply(index) {
 #ifdef BY_ARRIVAL
-    knownPlace = told[number].place;
-    provenAt = (told[number].stamp > provenAt -> told[number].stamp : provenAt);
+    knownPosition = replies[index].orderPosition;
+    provenAt = (replies[index].queriedAt > provenAt -> replies[index].queriedAt : provenAt);
 #else
     if
-    :: told[number].place >= knownPlace -> knownPlace = told[number].place
+    :: replies[index].orderPosition >= knownPosition -> knownPosition = replies[index].orderPosition
     :: else
     fi;
 #ifdef AGE_ON_ARRIVAL
     provenAt = now;
 #else
-    provenAt = (told[number].stamp > provenAt -> told[number].stamp : provenAt);
+    provenAt = (replies[index].queriedAt > provenAt -> replies[index].queriedAt : provenAt);
 #endif
 #endif
-    told[number].isThere = false
+    replies[index].isInTransit = false
 }
 
 inline send() {
@@ -101,21 +101,21 @@
 
 active proctype Daemon() {
     do
-    :: atomic { told[0].isThere -> take(0) }
-    :: atomic { told[1].isThere -> take(1) }
-    /* The owner, which need not know of the order, allows a send. */
-    :: atomic { !isGranted && !IS_EMPTIED(knownPlace) -> isGranted = true }
+    :: atomic { replies[0].isInTransit -> receiveReply(0) }
+    :: atomic { replies[1].isInTransit -> receiveReply(1) }
+    /* The owner, which may not know of the order, grants a request. */
+    :: atomic { !isGranted && !IS_EMPTIED(knownPosition) -> isGranted = true }
     :: atomic {
         isGranted -> isGranted = false;
 #ifdef GRANT_OUTLIVES
         send()
 #else
         if
-        :: !IS_EMPTIED(knownPlace) -> send()
+        :: !IS_EMPTIED(knownPosition) -> send()
         :: else
         fi
 #endif
        }
-    :: now == LATEST -> break
+    :: now == LAST_TIME -> break
     od
 }
