--- a/Specifications/Freshness.pml
+++ b/Specifications/Freshness.pml
@@ -1,132 +1,132 @@
-/* Beliefs that are proven through other daemons, and keys that are taken away.
+/* Freshness of a configuration that is confirmed through another daemon, and revocation of a key.
  *
- * The store holds a configuration with a key (version 1) until an operator takes the
- * key away (version 2). One daemon, the relay, reads the store; another one, which
- * cannot, asks it. Messages are delayed, lost and overtake one another; reads take
- * any time, and the store looks at its state at any moment while one is under way.
- * docs/design/platform.md ties each step to its function.
+ * The store holds a configuration with a key (version 1) until an operator revokes the
+ * key (version 2). One daemon, the relay, reads the store; another one, the querier, cannot
+ * reach the store and queries the relay. Messages may be delayed, lost and reordered. A read
+ * may take any time, and the store may evaluate it at any moment in between.
+ * docs/design/platform.md maps each step to the function that implements it.
  *
- * Asserted wherever the asking daemon serves a request with the key: that it was not
- * taken away longer ago than the bound.
+ * Asserted whenever the querier serves a request with the key: the key was not revoked
+ * longer than BOUND ago.
  *
- * Broken variants, each of which spin has to refute:
- *   -DPROVE_ON_ARRIVAL   takes the arrival of an answer for the time of its proof
- *   -DANSWER_EARLY       answers by a read that was sent before the ask arrived
- *   -DREAD_ON_ARRIVAL    takes the arrival of a read's answer for the time of its proof
- *   -DGO_BACK            takes an older configuration for a newer one
- *   -DCHECK_ONCE         serves without looking at the age again
+ * Faulty variants, for each of which spin must find a violation:
+ *   -DPROVE_ON_ARRIVAL   dates a confirmation by the arrival of the relay's response
+ *   -DANSWER_EARLY       responds from a read that was sent before the query arrived
+ *   -DREAD_ON_ARRIVAL    dates a read by the arrival of the store's response
+ *   -DGO_BACK            replaces a configuration by an older one
+ *   -DCHECK_ONCE         does not check the age again after the first time
  */
-#define LATEST 4
+#define LAST_TIME 4
 #define BOUND 1
 #define WITH_KEY 1
 #define WITHOUT_KEY 2
 
 byte now = 0;
-byte stored = WITH_KEY;
-byte removedAt = 0;
+byte storedVersion = WITH_KEY;
+byte revokedAt = 0;
 
-byte relayBelief = 0;
+byte relayVersion = 0;
 byte relayProvenAt = 0;
-bool relayKnows = false;
+bool relayHasVersion = false;
 
-byte askerBelief = 0;
-byte askerProvenAt = 0;
-bool askerKnows = false;
+byte querierVersion = 0;
+byte querierProvenAt = 0;
+bool querierHasVersion = false;
 bool wasFresh = false;
 
-/* The asker's time when it asked. */
-chan asks = [1] of { byte };
-/* The same time again, and the version that the relay believes. */
-chan answers = [2] of { byte, byte };
+/* The time at which the querier sent its query. */
+chan queries = [1] of { byte };
+/* The time of the query, and the version that the relay holds. */
+chan responses = [2] of { byte, byte };
 
 active proctype Clock() {
     do
-    :: now < LATEST -> now++
+    :: now < LAST_TIME -> now++
     :: else -> break
     od
 }
 
 active proctype Operator() {
-    atomic { stored = WITHOUT_KEY; removedAt = now }
+    atomic { storedVersion = WITHOUT_KEY; revokedAt = now }
 }
 
-/* StoreClient::read and Gateway::takeSettings. */
+/* Models StoreClient::read and Gateway::applySettings. */
 active proctype Reader() {
     byte sentAt;
-    byte view;
+    byte readVersion;
     do
     :: sentAt = now;
-       view = stored;
+       readVersion = storedVersion;
        atomic {
-           relayBelief = (view > relayBelief -> view : relayBelief);
+           relayVersion = (readVersion > relayVersion -> readVersion : relayVersion);
 #ifdef READ_ON_ARRIVAL
            relayProvenAt = now;
 #else
            relayProvenAt = sentAt;
 #endif
-           relayKnows = true;
+           relayHasVersion = true;
            sentAt = 0;
-           view = 0
+           readVersion = 0
        }
     od
 }
 
-/* StateExchange::receive of an ask, and StateExchange::localStateConfirmed. */
-active proctype Answerer() {
-    byte stamp;
+/* Models StateExchange::receive of a query, and StateExchange::localStateConfirmed. */
+active proctype Responder() {
+    byte queriedAt;
     byte arrivedAt;
     do
-    :: atomic { asks?stamp -> arrivedAt = now }
+    :: atomic { queries?queriedAt -> arrivedAt = now }
        do
 #ifdef ANSWER_EARLY
-       :: atomic { relayKnows && nfull(answers) -> answers!stamp, relayBelief; break }
+       :: atomic { relayHasVersion && nfull(responses) -> responses!queriedAt, relayVersion; break }
 #else
-       :: atomic { relayKnows && relayProvenAt >= arrivedAt && nfull(answers) -> answers!stamp, relayBelief; break }
+       :: atomic { relayHasVersion && relayProvenAt >= arrivedAt && nfull(responses) -> responses!queriedAt, relayVersion; break }
 #endif
-       /* Forgotten: it has waited too long. */
+       /* The query is dropped after waiting too long. */
        :: break
        od;
-       atomic { stamp = 0; arrivedAt = 0 }
+       atomic { queriedAt = 0; arrivedAt = 0 }
     od
 }
 
-/* StateExchange::queryPeer and StateExchange::handleResponse. */
-active proctype Asker() {
-    byte stamp;
+/* Models StateExchange::queryPeer and StateExchange::handleResponse. */
+active proctype Querier() {
+    byte queriedAt;
     byte version;
     do
-    :: atomic { nfull(asks) -> asks!now }
+    :: atomic { nfull(queries) -> queries!now }
     :: atomic {
-           answers?stamp, version ->
+           responses?queriedAt, version ->
 #ifdef GO_BACK
-           askerBelief = version;
+           querierVersion = version;
 #else
-           askerBelief = (version > askerBelief -> version : askerBelief);
+           querierVersion = (version > querierVersion -> version : querierVersion);
 #endif
 #ifdef PROVE_ON_ARRIVAL
-           askerProvenAt = now;
+           querierProvenAt = now;
 #else
-           askerProvenAt = (stamp > askerProvenAt -> stamp : askerProvenAt);
+           querierProvenAt = (queriedAt > querierProvenAt -> queriedAt : querierProvenAt);
 #endif
-           askerKnows = true;
-           stamp = 0;
+           querierHasVersion = true;
+           queriedAt = 0;
            version = 0
        }
     od
 }
 
-/* Gateway::areKeysFresh, before each send to an upstream. */
-active proctype Caller() {
+/* Models Gateway::areKeysFresh, which is checked before each send to an upstream. */
+active proctype RequestHandler() {
     do
     :: atomic {
-           askerKnows && askerBelief == WITH_KEY ->
+           querierHasVersion && querierVersion == WITH_KEY ->
 #ifdef CHECK_ONCE
-           wasFresh = wasFresh || now - askerProvenAt <= BOUND;
+           wasFresh = wasFresh || now - querierProvenAt <= BOUND;
 #else
-           wasFresh = now - askerProvenAt <= BOUND;
+           wasFresh = now - querierProvenAt <= BOUND;
 #endif
            if
-           :: wasFresh -> assert(!(stored == WITHOUT_KEY && now > removedAt + BOUND))
+           :: wasFresh -> assert(!(storedVersion == WITHOUT_KEY && now > revokedAt + BOUND))
            :: else -> skip
            fi
        }
@@ -134,12 +134,12 @@
 }
 
 active proctype Network() {
-    byte stamp;
+    byte queriedAt;
     byte version;
     do
-    /* Lost; a lost ask is one that the answerer forgets. */
-    :: atomic { answers?stamp, version -> stamp = 0; version = 0 }
-    /* Overtaken by the next one. */
-    :: atomic { answers?stamp, version -> answers!stamp, version; stamp = 0; version = 0 }
+    /* A response is lost. A lost query is modelled by the responder dropping it. */
+    :: atomic { responses?queriedAt, version -> queriedAt = 0; version = 0 }
+    /* A response is overtaken by the next one. */
+    :: atomic { responses?queriedAt, version -> responses!queriedAt, version; queriedAt = 0; version = 0 }
     od
 }
--- a/Specifications/Suspension.pml
+++ b/Specifications/Suspension.pml
@@ -1,20 +1,21 @@
-/* One bound on a belief and one lease, held by a daemon whose VM may be suspended at any moment.
+/* A bound on the age of a cached key and a lease, both held by a daemon whose VM may be suspended at
+ * any moment.
  *
- * Real time goes on for everybody else. The daemon reads a store that holds a key until an operator
- * takes it away, and serves with the key for as long as its read is not older than the bound. It holds
- * a lease, which its owner gives to somebody else once the lease's time has passed; the daemon
- * counts that time from the moment at which it asked. MonotonicClock::now is the clock; a check and
- * what it allows are one step here, as they are one turn of the daemon's loop.
+ * Real time advances for all other processes. The daemon reads a key from a store until an operator
+ * revokes it, and serves with the key as long as its last read is not older than BOUND. It holds a
+ * lease, which the owner reassigns once the lease has expired; the daemon measures the lease from the
+ * time of its request. MonotonicClock::now is the clock. A check and the action that it permits are
+ * one atomic step here, because they run in one iteration of the daemon's event loop.
  *
- * Asserted wherever the daemon acts: that the key was not taken away longer ago than the bound, and
- * that the lease was not given to somebody else.
+ * Asserted whenever the daemon acts: the key was not revoked longer than BOUND ago, and the lease was
+ * not reassigned.
  *
- * Broken variants, each of which spin has to refute:
- *   -DSTEADY       counts on a clock that stands still while the VM is suspended
- *   -DCHECK_ONCE   acts later by a check that was made before
- *   -DAGE_ON_WAKE  takes what it believes for as old as the wake
+ * Faulty variants, for each of which spin must find a violation:
+ *   -DSTEADY       uses a clock that stops while the VM is suspended
+ *   -DCHECK_ONCE   acts in a later step than the check
+ *   -DAGE_ON_WAKE  dates the read and the lease request by the time of resumption
  */
-#define LATEST 7
+#define LAST_TIME 7
 #define BOUND 2
 #define LEASE 2
 
@@ -28,79 +29,79 @@
 #define CLOCK now
 #endif
 
-bool hasKey = true;
-byte removedAt = 0;
-bool isGivenAway = false;
+bool isKeyValid = true;
+byte revokedAt = 0;
+bool isReassigned = false;
 
-/* Who waits for the lease to end takes it as soon as it has. */
+/* A waiting daemon takes over the lease as soon as it has expired. */
 bool isLeased = false;
 byte leasedAt = 0;
 
 byte provenAt = 0;
-bool knowsKey = false;
-byte askedAt = 0;
+bool hasCachedKey = false;
+byte leaseRequestedAt = 0;
 bool holdsLease = false;
 
 active proctype Clock() {
     do
-    :: atomic { now < LATEST && !isSuspended -> now++ }
-    :: atomic { now < LATEST && isSuspended -> now++; suspendedTime++ }
-    :: now == LATEST -> break
+    :: atomic { now < LAST_TIME && !isSuspended -> now++ }
+    :: atomic { now < LAST_TIME && isSuspended -> now++; suspendedTime++ }
+    :: now == LAST_TIME -> break
     od
 }
 
-active proctype Suspender() {
+active proctype Hypervisor() {
     do
-    :: atomic { !isSuspended && now < LATEST -> isSuspended = true }
+    :: atomic { !isSuspended && now < LAST_TIME -> isSuspended = true }
     :: atomic {
         isSuspended -> isSuspended = false;
 #ifdef AGE_ON_WAKE
         provenAt = CLOCK;
-        askedAt = CLOCK
+        leaseRequestedAt = CLOCK
 #endif
        }
-    :: now == LATEST && !isSuspended -> break
+    :: now == LAST_TIME && !isSuspended -> break
     od
 }
 
 active proctype Operator() {
-    atomic { hasKey = false; removedAt = now }
+    atomic { isKeyValid = false; revokedAt = now }
 }
 
 active proctype Owner() {
     do
-    :: atomic { isLeased && now - leasedAt >= LEASE -> isLeased = false; isGivenAway = true; break }
-    :: now == LATEST -> break
+    :: atomic { isLeased && now - leasedAt >= LEASE -> isLeased = false; isReassigned = true; break }
+    :: now == LAST_TIME -> break
     od
 }
 
 active proctype Daemon() {
     byte sentAt;
-    bool seen;
+    bool readIsKeyValid;
     bool mayServe;
     bool mayUse;
     do
-    /* Reads the store: the age counts from the sending. */
+    /* Reads the store; the age of the result is measured from the time of the request. */
     :: atomic { !isSuspended -> sentAt = CLOCK };
-       seen = hasKey;
-       atomic { !isSuspended -> provenAt = sentAt; knowsKey = seen }
-    /* Asks for the lease, once. */
-    :: atomic { !isSuspended && !holdsLease && !isGivenAway -> sentAt = CLOCK };
+       readIsKeyValid = isKeyValid;
+       atomic { !isSuspended -> provenAt = sentAt; hasCachedKey = readIsKeyValid }
+    /* Requests the lease unless it is held already or has been reassigned. */
+    :: atomic { !isSuspended && !holdsLease && !isReassigned -> sentAt = CLOCK };
        if
-       :: atomic { !isLeased && !isGivenAway -> isLeased = true; leasedAt = now };
-          atomic { !isSuspended -> askedAt = sentAt; holdsLease = true }
+       :: atomic { !isLeased && !isReassigned -> isLeased = true; leasedAt = now };
+          atomic { !isSuspended -> leaseRequestedAt = sentAt; holdsLease = true }
        :: else
        fi
 #ifdef CHECK_ONCE
-    :: atomic { !isSuspended -> mayServe = knowsKey && CLOCK - provenAt <= BOUND; mayUse = holdsLease && CLOCK - askedAt < LEASE };
+    :: atomic { !isSuspended -> mayServe = hasCachedKey && CLOCK - provenAt <= BOUND; mayUse = holdsLease && CLOCK - leaseRequestedAt < LEASE };
        atomic {
         !isSuspended ->
         if
-        :: mayServe -> assert(hasKey || now - removedAt <= BOUND)
+        :: mayServe -> assert(isKeyValid || now - revokedAt <= BOUND)
         :: else
         fi;
         if
-        :: mayUse -> assert(!isGivenAway)
+        :: mayUse -> assert(!isReassigned)
         :: else
         fi
        }
@@ -108,15 +109,15 @@
     :: atomic {
         !isSuspended ->
         if
-        :: knowsKey && CLOCK - provenAt <= BOUND -> assert(hasKey || now - removedAt <= BOUND)
+        :: hasCachedKey && CLOCK - provenAt <= BOUND -> assert(isKeyValid || now - revokedAt <= BOUND)
         :: else
         fi;
         if
-        :: holdsLease && CLOCK - askedAt < LEASE -> assert(!isGivenAway)
+        :: holdsLease && CLOCK - leaseRequestedAt < LEASE -> assert(!isReassigned)
         :: else
         fi
        }
 #endif
-    :: now == LATEST -> break
+    :: now == LAST_TIME -> break
     od
 }
