--- a/Specifications/StoreReturn.pml
+++ b/Specifications/StoreReturn.pml
@@ -1,85 +1,87 @@
-/* A store that comes back from a copy which lacks its last record.
+/* A store that is restored from a backup which lacks its last record.
  *
- * The log holds configurations, each by its version. A relay reads it, and another daemon
- * goes by what the relay tells. Once, at any moment, the store loses its newest record; its
- * era rises. The operator writes what was lost again, or a newer configuration, so another
- * record stands at an offset that was read before. Reads take any time, and an answer
- * from before the return may arrive after it. docs/design/platform.md ties each step to its
- * function.
+ * The log contains configurations, represented by their versions. A relay reads the log, and a
+ * peer learns configurations from the relay. At most once, at any moment, the store loses its newest
+ * record and increments its era. The operator then writes the lost record again or a newer
+ * configuration, so a different record may follow at an offset that was read before. A read may take
+ * any time, and a response from before the restore may arrive after it. docs/design/platform.md maps
+ * each step to the function that implements it.
  *
- * Asserted: no daemon goes back to an older version; whoever holds that nothing is newer,
- * by a read that was sent after the last record was written, has the newest version.
+ * Asserted: no daemon reverts to an older version. A daemon that concludes from a read or a check of
+ * the log's end, made after the last record was written, that nothing is newer has the newest version.
  *
- * Broken variants, each of which spin has to refute:
- *   -DOFFSET_ALONE   a position is an offset, whichever log it is of
- *   -DTAKE_COPY      the copy's older configuration replaces the one in force
- *   -DTELL_OFFSET    daemons tell one another offsets alone
+ * Faulty variants, for each of which spin must find a violation:
+ *   -DOFFSET_ALONE   positions consist of an offset without the era
+ *   -DTAKE_COPY      the backup's older configuration replaces the one in force
+ *   -DTELL_OFFSET    daemons send one another offsets without the era
  */
-#define MOST 3
+#define MAX_RECORDS 3
 
-byte log[MOST + 1] = 1;
+byte log[MAX_RECORDS + 1] = 1;
 byte end = 1;
 byte era = 1;
-bool hasReturned = false;
-/* The version written last, and whether all is written that ever will be. */
-byte newest = 1;
-bool isOver = false;
+bool wasRestored = false;
+/* The version written last, and whether the operator has finished writing. */
+byte newestVersion = 1;
+bool isWritingFinished = false;
 
-/* What a daemon has, where it reads on, and whether it believes that nothing is newer. */
+/* Per daemon: its version, the position that it reads next, and whether it has concluded that
+ * nothing is newer. */
 byte relayVersion = 0;
 byte relayEra = 0;
 byte relayNext = 0;
 bool relayProven = false;
 
-byte otherVersion = 0;
-byte otherEra = 0;
-byte otherNext = 0;
-bool otherProven = false;
+byte peerVersion = 0;
+byte peerEra = 0;
+byte peerNext = 0;
+bool peerProven = false;
 
-/* The version that the relay has, and the position behind it. */
-chan told = [1] of { byte, byte, byte };
+/* The relay's version, and the era and offset of the position after it. */
+chan updates = [1] of { byte, byte, byte };
 
 active proctype Operator() {
     /* A second configuration, which the store may lose. */
-    atomic { log[end] = 2; end++; newest = 2 }
+    atomic { log[end] = 2; end++; newestVersion = 2 }
     if
-    :: atomic { end--; era++; hasReturned = true }
+    :: atomic { end--; era++; wasRestored = true }
        if
-       /* It is written again, */
+       /* The lost record is written again, */
        :: atomic { log[end] = 2; end++ }
-       /* or a newer one, where it stood, or beyond it. */
-       :: atomic { log[end] = 3; end++; newest = 3 }
-       :: atomic { log[end] = 2; end++; log[end] = 3; end++; newest = 3 }
+       /* or a newer one is written at the same offset or at the next one. */
+       :: atomic { log[end] = 3; end++; newestVersion = 3 }
+       :: atomic { log[end] = 2; end++; log[end] = 3; end++; newestVersion = 3 }
        fi
     :: skip
     fi
-    isOver = true
+    isWritingFinished = true
 }
 
-/* Gateway::applySettings: versions only rise. */
-inline take(mine, candidate) {
+/* Models Gateway::applySettings: versions only increase. */
+inline applyVersion(current, candidate) {
 #ifdef TAKE_COPY
     if
-    :: candidate != 0 -> assert(candidate >= mine); mine = candidate
+    :: candidate != 0 -> assert(candidate >= current); current = candidate
     :: else -> skip
     fi
 #else
     if
-    :: candidate > mine -> mine = candidate
+    :: candidate > current -> current = candidate
     :: else -> skip
     fi
 #endif
 }
 
-/* KeyedTopicFollower: reads on behind the position, or all where it is of another era. */
+/* Models KeyedTopicFollower: reads from the position on, or the whole log if the position is from
+ * another era. */
 inline readStore(ownVersion, ownEra, ownNext, ownProven) {
     byte answerEra;
     byte answerEnd;
     byte answerVersion;
-    bool wasOver;
-    /* The store looks at its log while the read is under way. */
+    bool wasWritingFinished;
+    /* The store evaluates the read at some moment while it is in progress. */
     atomic {
-        wasOver = isOver;
+        wasWritingFinished = isWritingFinished;
         answerEra = era;
         answerEnd = end;
 #ifdef OFFSET_ALONE
@@ -88,17 +90,17 @@
         answerVersion = (ownEra != era || ownNext != end -> log[end - 1] : 0)
 #endif
     }
-    /* An answer from before the return may arrive after one from then: it counts as none. */
+    /* A response from before the restore may arrive after one from after it, and is ignored. */
     atomic {
         if
         :: answerEra < ownEra -> skip
         :: else ->
             ownEra = answerEra;
             ownNext = answerEnd;
-            take(ownVersion, answerVersion);
-            /* Nothing is newer than what was read. */
-            ownProven = ownProven || wasOver;
-            assert(!wasOver || ownVersion == newest)
+            applyVersion(ownVersion, answerVersion);
+            /* If the operator had finished writing, nothing is newer than what was read. */
+            ownProven = ownProven || wasWritingFinished;
+            assert(!wasWritingFinished || ownVersion == newestVersion)
         fi
     }
 }
@@ -109,48 +111,48 @@
     :: round < 4 ->
         readStore(relayVersion, relayEra, relayNext, relayProven);
         if
-        :: nfull(told) -> told ! relayVersion, relayEra, relayNext
-        :: full(told) -> skip
+        :: nfull(updates) -> updates ! relayVersion, relayEra, relayNext
+        :: full(updates) -> skip
         fi;
         round++
     :: else -> break
     od
 }
 
-/* Is told, and asks the store whether it has more than that. */
-active proctype Other() {
+/* Receives the relay's version and checks the end of the store's log for newer records. */
+active proctype Peer() {
     byte version;
-    byte toldEra;
-    byte toldNext;
+    byte receivedEra;
+    byte receivedNext;
     byte round = 0;
-    bool wasOver;
+    bool wasWritingFinished;
     do
-    :: round < 4 && nempty(told) ->
-        told ? version, toldEra, toldNext;
+    :: round < 4 && nempty(updates) ->
+        updates ? version, receivedEra, receivedNext;
         atomic {
-            take(otherVersion, version);
+            applyVersion(peerVersion, version);
             if
 #ifdef TELL_OFFSET
-            :: toldNext > otherNext -> otherNext = toldNext; otherEra = era
+            :: receivedNext > peerNext -> peerNext = receivedNext; peerEra = era
 #else
-            :: toldEra > otherEra || (toldEra == otherEra && toldNext > otherNext) -> otherEra = toldEra; otherNext = toldNext
+            :: receivedEra > peerEra || (receivedEra == peerEra && receivedNext > peerNext) -> peerEra = receivedEra; peerNext = receivedNext
 #endif
             :: else -> skip
             fi
         };
-        /* StoreClient::end: the same position proves that nothing is newer. */
+        /* Models StoreClient::end: an equal position proves that nothing is newer. */
         atomic {
-            wasOver = isOver;
+            wasWritingFinished = isWritingFinished;
             if
 #ifdef OFFSET_ALONE
-            :: otherNext == end -> otherProven = true; assert(!wasOver || otherVersion == newest)
+            :: peerNext == end -> peerProven = true; assert(!wasWritingFinished || peerVersion == newestVersion)
 #else
-            :: otherEra == era && otherNext == end -> otherProven = true; assert(!wasOver || otherVersion == newest)
+            :: peerEra == era && peerNext == end -> peerProven = true; assert(!wasWritingFinished || peerVersion == newestVersion)
 #endif
             :: else -> skip
             fi
         };
         round++
-    :: empty(told) || round == 4 -> break
+    :: empty(updates) || round == 4 -> break
     od
 }
