--- a/Specifications/Claims.pml
+++ b/Specifications/Claims.pml
@@ -1,16 +1,17 @@
-/* At most once by claims on an append-only log.
+/* At-most-once execution by claims in an append-only log.
  *
- * ATTEMPTS attempts, each a sending of the same key through some daemon, append a
- * claim, whose reply may be lost and which may take effect late or never. An
- * attempt that sees its own claim in the log runs the call if, by all that stands
- * before it, the key was free. It may be paused at any step, give up, or lose its
- * memory in a restart. docs/design/at-most-once.md ties each step to its function.
+ * Each of ATTEMPTS attempts sends a request with the same key through some daemon and
+ * appends a claim for it. The reply to the append may be lost, and the append may take
+ * effect late or never. An attempt that reads its own claim from the log executes the
+ * request if the key was free according to all preceding records. It may be paused at
+ * any step, give up, or lose its state in a restart. docs/design/at-most-once.md maps
+ * each step to the function that implements it.
  *
- * Broken variants, each of which spin has to refute:
- *   -DRUN_BEFORE_SEEN      runs when the append is answered, without reading
- *   -DGIVE_UP_UNSAFELY     says not-run and still runs when the claim shows up
+ * Faulty variants, for each of which spin must find a violation:
+ *   -DRUN_BEFORE_SEEN      executes once the append is acknowledged, without reading the log
+ *   -DGIVE_UP_UNSAFELY     reports not-run, but executes if the claim appears later
  *   -DFREE_ON_TIMEOUT      frees a key whose holder is silent, as a lease would
- *   -DNEVER_ABANDON        gives up without saying so in the log
+ *   -DNEVER_ABANDON        gives up without appending an ABANDON record
  */
 #define ATTEMPTS 3
 #define LOGSIZE 7
@@ -27,9 +28,9 @@
 byte logAttempt[LOGSIZE];
 byte logLength = 0;
 
-/* What became of each attempt's claim record on its way to the log. */
+/* The delivery state of each attempt's claim record. */
 #define NOT_SENT 0
-#define ON_ITS_WAY 1
+#define IN_TRANSIT 1
 #define IN_LOG 2
 #define LOST 3
 byte claimState[ATTEMPTS];
@@ -50,8 +51,8 @@
     logLength++
 }
 
-/* ClaimTable::apply over the first `upTo` records. */
-inline fold(upTo) {
+/* Models ClaimTable::apply over the first `upTo` records. */
+inline replayLog(upTo) {
     d_step {
         state = FREE;
         holder = 255;
@@ -81,10 +82,10 @@
     }
 }
 
-/* The network and the log: an append takes effect now, late or never, and its
- * reply is lost or not, which the attempt cannot tell apart. */
-proctype Carrier(byte me) {
-    claimState[me] == ON_ITS_WAY;
+/* Models the network and the log: an append takes effect immediately, late or never, and its
+ * reply may be lost. The attempt cannot tell these cases apart. */
+proctype Network(byte me) {
+    claimState[me] == IN_TRANSIT;
     if
     :: atomic { logIsUp -> appendRecord(CLAIM, me); claimState[me] = IN_LOG }
     :: claimState[me] = LOST
@@ -104,13 +105,13 @@
     bool mayRun = false;
     bool gaveUp = false;
 
-    /* An early look: ClaimGate::claim. */
+    /* Reads the log before appending a claim: ClaimGate::claim. */
     atomic {
         upTo = logLength;
-        fold(upTo);
+        replayLog(upTo);
         if
-        :: state != FREE -> answered[me] = true; goto over
-        :: else -> claimState[me] = ON_ITS_WAY
+        :: state != FREE -> answered[me] = true; goto finished
+        :: else -> claimState[me] = IN_TRANSIT
         fi
     }
 #ifdef RUN_BEFORE_SEEN
@@ -118,7 +119,7 @@
     mayRun = true;
     goto execute;
 #endif
-    /* Reads until its own claim shows up: ClaimGate::takeRead, settleSeen. */
+    /* Reads the log until it contains this attempt's claim: ClaimGate::takeRead, settleSeen. */
     do
     :: atomic { (logIsUp && claimState[me] == IN_LOG) ->
             seen = 0;
@@ -127,7 +128,7 @@
             :: else -> seen++
             od;
             upTo = seen + 1;
-            fold(upTo);
+            replayLog(upTo);
             mayRun = (state == HELD && holder == me);
 #ifdef FREE_ON_TIMEOUT
             if
@@ -137,8 +138,8 @@
 #endif
             break
         }
-    /* ClaimGate::giveUp: the claim may still be on its way. */
-    :: claimState[me] == ON_ITS_WAY || claimState[me] == LOST ->
+    /* ClaimGate::giveUp: the claim may still be in transit. */
+    :: claimState[me] == IN_TRANSIT || claimState[me] == LOST ->
         gaveUp = true;
         toldNotRun[me] = true;
         answered[me] = true;
@@ -147,8 +148,8 @@
         mayRun = true;
 #endif
         break
-    /* A restart: the process that comes back knows nothing of this attempt. */
-    :: restarted[me] = true; goto over
+    /* A restart: the new process has no state of this attempt. */
+    :: restarted[me] = true; goto finished
     od;
 execute:
     if
@@ -158,23 +159,23 @@
 #endif
         skip
     :: mayRun ->
-        /* Paused here for any time, and unaware of it. */
+        /* The attempt may be paused here for any time without noticing it. */
         if
-        :: restarted[me] = true; goto over
+        :: restarted[me] = true; goto finished
         :: atomic { runs++; ranBy[me] = true };
             if
             :: atomic { logIsUp -> appendRecord(DONE, me); answered[me] = true }
-            /* The answer was lost: the key stays held, the caller is told so. */
+            /* The answer was lost: the key stays held, and the caller is told so. */
             :: answered[me] = true
-            :: restarted[me] = true; goto over
+            :: restarted[me] = true; goto finished
             fi
-        /* The upstream could not be reached: certainly not run. */
+        /* The upstream could not be reached, so the request was certainly not executed. */
         :: toldNotRun[me] = true; answered[me] = true;
             atomic { logIsUp -> appendRecord(ABANDON, me); abandoned[me] = true }
         fi
     :: else -> answered[me] = true
     fi;
-over:
+finished:
     skip
 }
 
@@ -182,7 +183,7 @@
     byte n = 0;
     atomic {
         do
-        :: n < ATTEMPTS -> run Attempt(n); run Carrier(n); n++
+        :: n < ATTEMPTS -> run Attempt(n); run Network(n); n++
         :: else -> break
         od;
         run Outage()
@@ -192,7 +193,7 @@
 #define atMostOnce (runs <= 1)
 #define verdictTrue (!(toldNotRun[0] && ranBy[0]) && !(toldNotRun[1] && ranBy[1]) && !(toldNotRun[2] && ranBy[2]))
 #define settled(n) (answered[n] || restarted[n])
-/* A claim that its attempt gave up does not hold the key for ever. */
+/* A claim whose attempt has given up does not hold the key forever. */
 #define givenUp(n) (toldNotRun[n] && claimState[n] == IN_LOG && !ranBy[n])
 
 ltl once { [] atMostOnce }
--- a/Specifications/Publication.pml
+++ b/Specifications/Publication.pml
@@ -1,14 +1,14 @@
-/* Publication of settings over an append-only log that forgets.
+/* Publication of settings through an append-only log with limited retention.
  *
- * Two operators publish changes that were made from the revision they know; a
- * snapshotter repeats accepted state, possibly late; the log drops its oldest
- * records; readers read, restart with nothing remembered, and take state from one
- * another. docs/design/settings.md ties each step to its function.
+ * Two operators publish changes based on the revision that they know. A snapshotter
+ * appends snapshots of accepted state, possibly late. The log discards its oldest
+ * records. Readers read the log, restart without any state, and adopt state from one
+ * another. docs/design/settings.md maps each step to the function that implements it.
  *
- * Broken variants, each of which spin has to refute:
- *   -DNO_BASE_CHECK     accepts a change from any revision
- *   -DSNAPSHOT_BLIND    takes a snapshot without replaying what stands before it
- *   -DPEER_ALWAYS       takes a peer's state even when it is older
+ * Faulty variants, for each of which spin must find a violation:
+ *   -DNO_BASE_CHECK     accepts a change that is based on any revision
+ *   -DSNAPSHOT_BLIND    applies a snapshot without replaying the changes from its `upTo` offset on
+ *   -DPEER_ALWAYS       adopts a peer's state even if it is older
  */
 #define READERS 2
 #define LOGSIZE 6
@@ -17,15 +17,15 @@
 #define NONE 255
 
 byte recordKind[LOGSIZE];
-/* For a change, the base; for a snapshot, the revision. */
+/* The base revision of a change, or the revision of a snapshot. */
 byte recordRevision[LOGSIZE];
 byte recordContent[LOGSIZE];
-/* For a snapshot: all before this is taken into account. */
+/* For a snapshot: the state includes all records before this offset. */
 byte recordUpTo[LOGSIZE];
 byte logLength = 0;
 byte logFirst = 0;
 
-/* What a reader of the whole log, from its first record on, accepts. */
+/* The state that a reader accepts if it reads the whole log from its first record. */
 byte trueRevision = 0;
 byte trueContent[LOGSIZE];
 
@@ -36,7 +36,7 @@
 byte runStart[READERS];
 byte applied[READERS];
 
-inline publishRecord(kind, revision, content, upTo) {
+inline appendRecord(kind, revision, content, upTo) {
     if
     :: logLength < LOGSIZE ->
         recordKind[logLength] = kind;
@@ -52,19 +52,19 @@
     fi
 }
 
-inline applyChange(r, at) {
+inline applyChange(r, recordIndex) {
     if
 #ifdef NO_BASE_CHECK
-    :: knownRevision[r] != NONE -> knownRevision[r]++; knownContent[r] = recordContent[at]
+    :: knownRevision[r] != NONE -> knownRevision[r]++; knownContent[r] = recordContent[recordIndex]
 #else
-    :: knownRevision[r] != NONE && recordRevision[at] == knownRevision[r] -> knownRevision[r]++; knownContent[r] = recordContent[at]
+    :: knownRevision[r] != NONE && recordRevision[recordIndex] == knownRevision[r] -> knownRevision[r]++; knownContent[r] = recordContent[recordIndex]
 #endif
     :: else -> skip
     fi
 }
 
-/* What is accepted is the truth of its revision, and never reverts unless the
- * reader starts anew. */
+/* Asserts that accepted content is the true content of its revision, and that the revision never
+ * decreases unless the reader starts over. */
 inline checkAccepted(r) {
     if
     :: knownRevision[r] != NONE ->
@@ -79,14 +79,14 @@
     fi
 }
 
-/* PublicationReader::take, for one record. */
-inline readOne(r) {
+/* Models PublicationReader::take for one record. */
+inline readRecord(r) {
     d_step {
         if
         :: position[r] < logFirst ->
             /* PublicationReader::skipTo */
             knownRevision[r] = NONE; position[r] = logFirst; runStart[r] = logFirst;
-            /* What the daemon serves from stays in force meanwhile; see SettingsFollower. */
+            /* The settings that the daemon serves from stay in force meanwhile; see SettingsFollower. */
             applied[r] = 0
         :: else -> skip
         fi;
@@ -96,18 +96,18 @@
         fi;
         if
         :: position[r] < logLength ->
-            at = position[r];
+            recordIndex = position[r];
             position[r]++;
             if
-            :: recordKind[at] == CHANGE -> applyChange(r, at)
-            :: recordKind[at] == SNAPSHOT && knownRevision[r] == NONE && recordUpTo[at] >= runStart[r] ->
-                knownRevision[r] = recordRevision[at];
-                knownContent[r] = recordContent[at];
+            :: recordKind[recordIndex] == CHANGE -> applyChange(r, recordIndex)
+            :: recordKind[recordIndex] == SNAPSHOT && knownRevision[r] == NONE && recordUpTo[recordIndex] >= runStart[r] ->
+                knownRevision[r] = recordRevision[recordIndex];
+                knownContent[r] = recordContent[recordIndex];
 #ifndef SNAPSHOT_BLIND
                 /* PublicationReader::replayUnplaced */
-                k = recordUpTo[at];
+                k = recordUpTo[recordIndex];
                 do
-                :: k < at ->
+                :: k < recordIndex ->
                     if
                     :: recordKind[k] == CHANGE -> applyChange(r, k)
                     :: else -> skip
@@ -125,52 +125,52 @@
         :: knownRevision[r] != NONE -> knownUpTo[r] = position[r]
         :: else -> skip
         fi;
-        at = 0;
+        recordIndex = 0;
         checkAccepted(r)
     }
 }
 
 proctype Reader(byte r) {
-    byte at, k, other;
+    byte recordIndex, k, peer;
     byte restarts = 0;
-    other = 1 - r;
+    peer = 1 - r;
     do
-    :: readOne(r)
-    /* A restart forgets everything, also what was applied. */
+    :: readRecord(r)
+    /* A restart loses all state, including what was applied. */
     :: atomic { restarts < 1 -> restarts++; knownRevision[r] = NONE; position[r] = 0; runStart[r] = 0; applied[r] = 0 }
     /* PublicationReader::adopt */
-    :: d_step { knownRevision[other] != NONE &&
+    :: d_step { knownRevision[peer] != NONE &&
 #ifdef PEER_ALWAYS
             true
 #else
-            (knownRevision[r] == NONE || (knownUpTo[other] > position[r] && knownRevision[other] >= knownRevision[r]))
+            (knownRevision[r] == NONE || (knownUpTo[peer] > position[r] && knownRevision[peer] >= knownRevision[r]))
 #endif
             ->
-            knownRevision[r] = knownRevision[other];
-            knownContent[r] = knownContent[other];
-            knownUpTo[r] = knownUpTo[other];
-            position[r] = knownUpTo[other];
+            knownRevision[r] = knownRevision[peer];
+            knownContent[r] = knownContent[peer];
+            knownUpTo[r] = knownUpTo[peer];
+            position[r] = knownUpTo[peer];
             runStart[r] = position[r];
             checkAccepted(r)
         }
     od
 }
 
-/* An operator, whose knowledge of what is in force may be stale when it appends. */
+/* An operator, whose known revision may be outdated by the time of the append. */
 proctype Operator(byte content) {
     byte base;
     atomic { knownRevision[0] != NONE -> base = knownRevision[0] }
-    atomic { publishRecord(CHANGE, base, content, 0) }
+    atomic { appendRecord(CHANGE, base, content, 0) }
 }
 
-/* A daemon that repeats what it knows; its append may take effect later. */
+/* A daemon that appends snapshots of its state; an append may take effect later. */
 proctype Snapshotter() {
     byte revision, content, upTo;
     byte count = 0;
     do
     :: count < 2 ->
         atomic { knownRevision[1] != NONE -> revision = knownRevision[1]; content = knownContent[1]; upTo = knownUpTo[1] }
-        atomic { publishRecord(SNAPSHOT, revision, content, upTo); count++ }
+        atomic { appendRecord(SNAPSHOT, revision, content, upTo); count++ }
     :: else -> break
     od
 }
