--- a/Tests/TestMain.cpp
+++ b/Tests/TestMain.cpp
@@ -1,3 +1,3 @@
-// The main() of every test program.
+// Defines main() for each Boost.Test program.
 #define BOOST_TEST_MODULE Stagepost
 #include <boost/test/unit_test.hpp>
