--- a/Tests/Processes/test_deploy.py
+++ b/Tests/Processes/test_deploy.py
@@ -1,4 +1,4 @@
-"""The flags that the deploy file gives the daemon, for what a deployment may set."""
+"""The daemon flags that the deploy file generates from the settings of a deployment."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 PROGRAM = f"{BUILD}/platform/stagepostd-platform"
 DEPLOY = os.path.join(os.path.dirname(__file__), "..", "..", "deploy", "system.toml")
 
-# What a process's settings hold, as far as the deploy file uses it.
+# The settings of a process that the deploy file uses.
 SETTINGS = {
     "node": "front-1", "zone": "north", "ip": "127.0.0.1", "internalPorts": [0, 0],
     "listen": {"front": "127.0.0.1:0", "ready": "127.0.0.1:0"},
@@ -30,49 +30,49 @@
     return value
 
 
-def is_given(settings, name):
-    """Whether there is such a value and it is not false: one that a deployment lacks is none."""
+def is_set(settings, name):
+    """Returns whether the value is set and not false. A deployment may omit any value."""
     try:
         return bool(value_of(settings, name))
     except KeyError:
         return False
 
 
-def fill(text, settings):
-    """Fills the gaps as the platform does: sections for what is given or not, and values."""
-    text = re.sub(r"\{\{#([\w.]+)\}\}(.*?)\{\{/\1\}\}", lambda gap: gap[2] if is_given(settings, gap[1]) else "", text)
-    text = re.sub(r"\{\{\^([\w.]+)\}\}(.*?)\{\{/\1\}\}", lambda gap: "" if is_given(settings, gap[1]) else gap[2], text)
-    return re.sub(r"\{\{([\w.]+)\}\}", lambda gap: json.dumps(value_of(settings, gap[1])).strip('"'), text)
+def expand(text, settings):
+    """Expands the template as the platform does: sections, inverted sections and values."""
+    text = re.sub(r"\{\{#([\w.]+)\}\}(.*?)\{\{/\1\}\}", lambda match: match[2] if is_set(settings, match[1]) else "", text)
+    text = re.sub(r"\{\{\^([\w.]+)\}\}(.*?)\{\{/\1\}\}", lambda match: "" if is_set(settings, match[1]) else match[2], text)
+    return re.sub(r"\{\{([\w.]+)\}\}", lambda match: json.dumps(value_of(settings, match[1])).strip('"'), text)
 
 
 def flags_for(**bounds):
     with open(DEPLOY, "rb") as file:
         run = tomllib.load(file)["roles"]["entry"]["run"]
-    words = fill(run, {**SETTINGS, "bounds": {**SETTINGS["bounds"], **bounds}}).split()[1:]
+    words = expand(run, {**SETTINGS, "bounds": {**SETTINGS["bounds"], **bounds}}).split()[1:]
     return dict(zip(words[::2], words[1::2]))
 
 
 class DeployFile(unittest.TestCase):
-    def test_keys_have_a_bound_where_the_deployment_asks_for_one(self):
+    def test_the_key_bound_is_set_if_the_deployment_requires_it(self):
         self.assertEqual(flags_for(strictRevoke=True)["--key-bound-ms"], "5000")
 
-    def test_keys_have_no_bound_where_the_deployment_does_not_ask_for_one(self):
+    def test_the_key_bound_is_off_if_the_deployment_does_not_require_it(self):
         self.assertEqual(flags_for(strictRevoke=False)["--key-bound-ms"], "0")
 
-    def test_both_bounds_on_news_are_given(self):
+    def test_the_bounds_for_leaving_upstreams_and_configurations_are_set(self):
         flags = flags_for(drainMs=3000, configApplyMs=700)
         self.assertEqual((flags["--leave-bound-ms"], flags["--config-bound-ms"]), ("3000", "700"))
 
-    def test_emptied_halls_and_cold_upstreams_have_bounds_where_a_deployment_gives_them(self):
+    def test_the_bounds_for_emptied_halls_and_cold_upstreams_are_optional(self):
         given = flags_for(evacuateMs=5000, coldOvershoot=1.5, coldSlack=5)
         self.assertEqual((given["--empty-hall-bound-ms"], given["--cold-overshoot"], given["--cold-slack"]), ("5000", "1.5", "5"))
         absent = flags_for()
         self.assertEqual((absent["--empty-hall-bound-ms"], absent["--cold-overshoot"], absent["--cold-slack"]), ("0", "1", "0"))
 
-    def test_the_daemon_takes_the_flags(self):
+    def test_the_daemon_accepts_the_flags(self):
         for is_strict in (True, False):
             words = [word for pair in flags_for(strictRevoke=is_strict).items() for word in pair]
-            # Without the wrong flag it would start and stay.
+            # The invalid log level makes the daemon exit. With valid flags alone it would keep running.
             refused = subprocess.run([PROGRAM, *words, "--log-level", "none"], capture_output=True, text=True, timeout=PATIENCE)
             self.assertEqual(refused.returncode, 2)
             self.assertIn("--log-level = 'none'", refused.stderr)
--- a/Tests/Processes/test_log.py
+++ b/Tests/Processes/test_log.py
@@ -1,4 +1,4 @@
-"""What a daemon writes explains what it did, also when nobody reads it for a while."""
+"""The log of a daemon explains what it did, even if its output is not read for a while."""
 
 import subprocess
 import threading
@@ -9,11 +9,11 @@
 from test_platform import HOST, KEY, PROGRAM, manifest, request
 from platform_stand_ins import Store, Upstream
 
-# More lines than the output holds while it is not read.
+# Produces more log lines than the output pipe buffers.
 CALLS = 600
 
 
-class TheLog(unittest.TestCase):
+class UnreadLog(unittest.TestCase):
     def setUp(self):
         self.store = Store()
         self.addCleanup(self.store.stop)
@@ -39,15 +39,15 @@
         metrics = request(self.ready, "GET", "/metrics").body
         return next((line.split()[1] for line in metrics.splitlines() if line.startswith("stagepost_settings_version ")), None)
 
-    def test_a_configuration_that_came_while_nobody_read_is_told(self):
+    def test_a_configuration_change_is_logged_while_the_output_is_not_read(self):
         for number in range(CALLS):
             request(self.endpoint, "GET", "/lookup/x", None, {"Host": HOST, "X-Attempt-Id": f"attempt-{number}", "X-Api-Key": KEY})
         self.store.put("keyed.op", "config", manifest(9))
-        eventually(lambda: self.version_in_force() in ("9", "9.0", "9.000000"), "in force")
+        eventually(lambda: self.version_in_force() in ("9", "9.0", "9.000000"), "version 9 is in force")
         lines = []
         threading.Thread(target=lambda: lines.extend(iter(self.process.stdout.readline, "")), daemon=True).start()
         eventually(lambda: any("event=settings-in-force version=9 " in line for line in lines), "the line of version 9")
-        eventually(lambda: any("event=log-left-out" in line for line in lines), "how many lines were left out")
+        eventually(lambda: any("event=log-left-out" in line for line in lines), "the number of dropped lines")
         self.assertLess(sum("event=request" in line for line in lines), CALLS)
 
 
