--- a/Tests/Processes/test_fuzz.py
+++ b/Tests/Processes/test_fuzz.py
@@ -1,5 +1,5 @@
-"""Damaged bytes from callers, upstreams and the store: whatever comes, the daemon
-goes on, runs nothing that nobody asked for, and gives no answer to the wrong request."""
+"""Fuzz tests with corrupted input from callers, upstreams and the store: the daemon must keep running,
+must not run a request that no caller sent, and must not deliver an answer to the wrong request."""
 
 import random
 import re
@@ -17,28 +17,28 @@
           b"ffffffffffffffff\r\n", b"X-Attempt-Id: smuggled\r\n", b"GET /lookup/smuggled HTTP/1.1\r\n", b"Expect: 100-continue\r\n", b"\xff\xfe", b"id: 7\n", b"data: \n\n"]
 
 
-def damaged(generator, text):
-    """The text with a few bytes changed, cut out, put twice or put in."""
+def corrupted(generator, text):
+    """Returns the text with random bytes replaced, removed, duplicated or inserted, or with its end cut off."""
     text = bytearray(text)
     for _ in range(generator.randint(1, 4)):
-        place = generator.randrange(len(text) + 1)
+        position = generator.randrange(len(text) + 1)
         length = generator.randrange(1, 12)
         kind = generator.randrange(5)
         if kind == 0:
-            text[place:place + 1] = bytes([generator.randrange(256)])
+            text[position:position + 1] = bytes([generator.randrange(256)])
         elif kind == 1:
-            del text[place:place + length]
+            del text[position:position + length]
         elif kind == 2:
-            text[place:place] = text[place:place + length]
+            text[position:position] = text[position:position + length]
         elif kind == 3:
-            text[place:place] = generator.choice(TOKENS)
+            text[position:position] = generator.choice(TOKENS)
         else:
-            del text[place:]
+            del text[position:]
     return bytes(text)
 
 
 class JunkUpstream(Upstream):
-    """Answers with damaged bytes while it is told to."""
+    """Answers with corrupted bytes while sends_junk is set."""
 
     def __init__(self, *arguments):
         self.generator = random.Random(SEED)
@@ -60,11 +60,11 @@
             answer = self.head(request_head, 200, None, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n") + events + b"0\r\n\r\n"
         else:
             answer = self.head(request_head, 200, 5) + b"whole"
-        connection.sendall(damaged(self.generator, answer))
+        connection.sendall(corrupted(self.generator, answer))
         return False
 
 
-class DamagedBytes(unittest.TestCase):
+class CorruptedInput(unittest.TestCase):
     def setUp(self):
         self.store = Store()
         self.addCleanup(self.store.stop)
@@ -84,33 +84,33 @@
         return request(self.entry.endpoint, method, path, "prompt" if method == "POST" else None, headers)
 
     def assert_serves(self):
-        eventually(lambda: self.call("/lookup/sound", "sound").status == 200, "serves again")
+        eventually(lambda: self.call("/lookup/sound", "sound").status == 200, "the daemon serves requests again")
         self.assertIsNone(self.entry.process.poll())
 
-    def test_from_callers(self):
+    def test_corrupted_requests(self):
         generator = random.Random(SEED)
         sound = (f"POST /confirm/x HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: mine\r\nX-Api-Key: {KEY}\r\nX-Deadline-Ms: 1000\r\n"
                  "X-Prompt-Prefix: aa:1,bb:2\r\nLast-Event-Id: 3\r\nContent-Length: 7\r\n\r\ncontact").encode()
         for _ in range(ROUNDS):
             with raw(self.entry.endpoint) as connection:
                 connection.settimeout(PATIENCE)
-                connection.sendall(damaged(generator, sound))
+                connection.sendall(corrupted(generator, sound))
                 connection.shutdown(socket.SHUT_WR)
                 answer = b""
                 try:
                     while part := connection.recv(65536):
                         answer += part
                 except ConnectionResetError:
-                    pass  # bytes that were not read were left
+                    pass  # The daemon closed the connection with unread bytes
                 self.assertRegex(answer, rb"^(HTTP/1\.1 [2-5]\d\d |$)")
         self.assert_serves()
         for run in self.upstreams[0].runs():
             self.assertIn(run["method"], ("GET", "POST"))
             self.assertNotIn("x-api-key", run["headers"])
-            # What came as one request's body runs as no request of its own.
+            # The body of a request must not run as a request of its own.
             self.assertFalse(run["headers"].get("x-attempt-id") == "smuggled" and run["headers"].get("host") != HOST)
 
-    def test_from_upstreams(self):
+    def test_corrupted_answers(self):
         for upstream in self.upstreams:
             upstream.sends_junk = True
         for number in range(ROUNDS // 2):
@@ -118,7 +118,7 @@
             try:
                 reply = self.call(path, f"junk-{number}", method)
             except OSError:
-                continue  # broken off, which no caller takes for an answer
+                continue  # A broken connection, which the caller recognises as a failure
             if reply.status == 200 and not path.startswith("/stream/"):
                 self.assertEqual(reply.headers["X-Attempt-Id"], f"junk-{number}")
             if path.startswith("/stream/") and reply.status == 200 and not reply.headers["X-Test-Broken"]:
@@ -128,23 +128,23 @@
             upstream.sends_junk = False
         self.assert_serves()
 
-    def test_from_the_store(self):
+    def test_corrupted_store_replies(self):
         generator = random.Random(SEED)
         reply = self.store.reply
 
-        def damaged_reply(handler, status, body):
-            reply(handler, status, damaged(generator, body) if body else body)
+        def corrupted_reply(handler, status, body):
+            reply(handler, status, corrupted(generator, body) if body else body)
 
-        self.store.reply = damaged_reply
+        self.store.reply = corrupted_reply
         for version in range(4, 30):
             self.store.put("keyed.op", "config", manifest(version))
             self.store.put("keyed.servers", f"other-{version}", {"service": 7})
             calls = len(self.store.calls)
-            eventually(lambda calls=calls: len(self.store.calls) > calls + 3, "read")
+            eventually(lambda calls=calls: len(self.store.calls) > calls + 3, "the daemon reads on")
             self.assertIsNone(self.entry.process.poll())
         self.store.reply = reply
         self.store.put("keyed.op", "config", manifest(100))
-        eventually(lambda: any("settings-in-force version=100" in line for line in self.entry.lines), "the newest version")
+        eventually(lambda: any("settings-in-force version=100" in line for line in self.entry.lines), "the newest version is in force")
         self.assert_serves()
 
 
--- a/Tests/Processes/test_upstream_rest.py
+++ b/Tests/Processes/test_upstream_rest.py
@@ -1,4 +1,4 @@
-"""Upstreams that want nothing for a while, or say that they leave, are left alone."""
+"""Upstreams that request a backoff with Retry-After, or announce that they are leaving, get no requests."""
 
 import threading
 import time
@@ -8,14 +8,14 @@
 from test_platform import HOST, KEY, Entry, manifest, request
 from platform_stand_ins import Store, Upstream
 
-REST_S = 2
-# Requests may be on their way for that long when an upstream asks for rest.
-ON_THE_WAY_S = 0.5
-# What an upstream may get from one daemon between that and the end of its rest.
-MOST_IN_A_REST = 2
+BACKOFF_S = 2
+# Requests sent before the daemon learns of the backoff may arrive for this long.
+IN_TRANSIT_S = 0.5
+# The requests that an upstream may receive from one daemon after that, until its backoff ends.
+MAX_REQUESTS_IN_BACKOFF = 2
 
 
-class UpstreamsThatWantNothing(unittest.TestCase):
+class UpstreamBackoff(unittest.TestCase):
     def setUp(self):
         self.store = Store()
         self.addCleanup(self.store.stop)
@@ -26,7 +26,7 @@
         self.entry = Entry(self.store, "--key-bound-ms", "60000", "--retry-slack", "1000")
         self.addCleanup(self.entry.stop)
         eventually(self.entry.is_ready, "ready")
-        # Before, it has no part of the retry budget.
+        # A daemon has no share of the retry budget before it is registered.
         eventually(lambda: any("event=peers" in line for line in self.entry.lines), "registered")
 
     def upstream(self, instance, service):
@@ -44,81 +44,81 @@
             fields["X-Prompt-Prefix"] = f"aa:500,{attempt % 16:x}b:9000,cc:30"
         return request(self.entry.endpoint, "POST" if path.startswith("/confirm/") else "GET", path, None, fields)
 
-    def call_for(self, path, seconds, callers=3):
+    def call_repeatedly(self, path, seconds, callers=3):
         end = time.monotonic() + seconds
         answers = []
 
-        def go_on():
+        def call_until_end():
             while time.monotonic() < end:
                 answers.append(self.call(path))
                 time.sleep(0.01)
 
-        threads = [threading.Thread(target=go_on) for _ in range(callers)]
+        threads = [threading.Thread(target=call_until_end) for _ in range(callers)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
         return answers
 
-    def most_in_a_rest(self, upstream):
-        """Each rejection begins a rest of its own."""
+    def max_requests_in_backoff(self, upstream):
+        """Returns the most requests that arrived in one backoff. Each rejection starts a new backoff."""
         with upstream.lock:
             arrivals = [each["at"] for each in upstream.requests]
-        return max(sum(1 for at in arrivals if asked + ON_THE_WAY_S < at < asked + REST_S) for asked in arrivals)
+        return max(sum(1 for at in arrivals if asked + IN_TRANSIT_S < at < asked + BACKOFF_S) for asked in arrivals)
 
-    def check_rest(self, path, resting):
-        for upstream in resting:
-            upstream.fault, upstream.rest = "refuse", REST_S
-        answers = self.call_for(path, 2 * REST_S)
-        for upstream in resting:
+    def check_backoff(self, path, refusing):
+        for upstream in refusing:
+            upstream.fault, upstream.rest = "refuse", BACKOFF_S
+        answers = self.call_repeatedly(path, 2 * BACKOFF_S)
+        for upstream in refusing:
             self.assertGreater(len(upstream.requests), 0)
-            self.assertLessEqual(self.most_in_a_rest(upstream), MOST_IN_A_REST)
+            self.assertLessEqual(self.max_requests_in_backoff(upstream), MAX_REQUESTS_IN_BACKOFF)
         return answers
 
-    def test_an_upstream_that_asks_for_rest_gets_it_while_another_serves(self):
+    def test_an_upstream_gets_no_requests_during_its_backoff_while_another_serves(self):
         for service, path in (("book", "/lookup/x"), ("book", "/confirm/x"), ("chat", "/stream/again/x"), ("chat", "/stream/once/x")):
             with self.subTest(path):
-                resting, other = self.upstreams[service]
-                resting.requests.clear()
-                answers = self.check_rest(path, [resting])
-                resting.fault = None
+                refusing, other = self.upstreams[service]
+                refusing.requests.clear()
+                answers = self.check_backoff(path, [refusing])
+                refusing.fault = None
                 self.assertEqual({answer.status for answer in answers}, {200})
                 self.assertGreater(len(other.runs()), 0)
 
-    def test_where_all_want_rest_the_others_are_refused_at_once_as_not_run(self):
+    def test_requests_are_refused_immediately_as_not_run_during_the_backoff_of_all_upstreams(self):
         for service, path in (("book", "/confirm/x"), ("chat", "/stream/again/x")):
             with self.subTest(path):
-                answers = self.check_rest(path, self.upstreams[service])
+                answers = self.check_backoff(path, self.upstreams[service])
                 self.assertEqual({answer.status for answer in answers}, {503})
                 self.assertTrue(all("Retry-After" in answer.headers for answer in answers))
 
-    def test_a_rest_ends(self):
-        resting = self.upstreams["book"][0]
-        self.check_rest("/lookup/x", [resting])
-        resting.fault = None
-        resting.requests.clear()
+    def test_a_backoff_ends(self):
+        refusing = self.upstreams["book"][0]
+        self.check_backoff("/lookup/x", [refusing])
+        refusing.fault = None
+        refusing.requests.clear()
 
         def is_back():
-            self.call_for("/lookup/x", 0.5)
-            return len(resting.runs()) > 2 * MOST_IN_A_REST
+            self.call_repeatedly("/lookup/x", 0.5)
+            return len(refusing.runs()) > 2 * MAX_REQUESTS_IN_BACKOFF
 
         eventually(is_back, "the upstream gets requests again")
 
-    def test_an_upstream_whose_answers_say_that_it_leaves_gets_nothing_more(self):
+    def test_an_upstream_that_announces_its_leaving_gets_no_further_requests(self):
         for service, path in (("book", "/lookup/x"), ("chat", "/stream/once/x")):
             with self.subTest(path):
                 leaving = self.upstreams[service][0]
                 leaving.says_leaving = True
-                self.call_for(path, 1)
+                self.call_repeatedly(path, 1)
                 self.assertGreater(len(leaving.requests), 0)
                 leaving.requests.clear()
-                # What its record says, also when it has been away meanwhile, takes nothing back.
+                # A record doesn't revoke the announcement, even if it was removed in the meantime.
                 self.store.put("keyed.servers", leaving.instance, leaving.record(seq=2, slots=32))
-                answers = self.call_for(path, 1)
+                answers = self.call_repeatedly(path, 1)
                 self.store.put("keyed.servers", leaving.instance, None)
                 time.sleep(0.5)
                 self.store.put("keyed.servers", leaving.instance, leaving.record(seq=3))
-                answers += self.call_for(path, 2)
+                answers += self.call_repeatedly(path, 2)
                 self.assertEqual(len(leaving.requests), 0)
                 self.assertEqual({answer.status for answer in answers}, {200})
 
