--- a/Tests/Processes/crashing_upstream.py
+++ b/Tests/Processes/crashing_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream that ends when it begins to run a certain request, and starts again."""
+"""An upstream that crashes when it runs a request with a marker in its body, and restarts."""
 
 import socket
 import threading
@@ -6,25 +6,25 @@
 
 from platform_stand_ins import Upstream
 
-# In the body of a request that ends whoever runs it.
+# Marks a request that crashes the upstream that runs it.
 CRASH = b"ends-whoever-runs-it"
 
 
 class CrashingUpstream(Upstream):
-    """Ends some moments after it begins a request with CRASH in its body: its connections and its
-    port close. After a pause it starts again at the same address, every other time under a new name.
+    """Crashes shortly after it starts to run a request with CRASH in its body: closes its connections
+    and its port. After a delay it restarts at the same address, every other time under a new name.
     """
 
-    RUNS_FOR = 0.03  # s, until it ends
-    PAUSE = 0.8  # s, until it starts again
+    CRASH_DELAY_S = 0.03  # From the start of the request
+    RESTART_DELAY_S = 0.8
 
     def __init__(self, instance, service, store, hall="north"):
         self.name = instance
         self.store = store
         self.connections = set()
-        # When each life ended.
-        self.ends = []
-        # When requests with CRASH arrived.
+        # The time of each crash.
+        self.crash_times = []
+        # The arrival times of requests with CRASH.
         self.crash_arrivals = []
         super().__init__(instance, service, hall)
         self.port = self.listener.getsockname()[1]
@@ -39,28 +39,28 @@
             self.connections.discard(connection)
 
     def plain(self, connection, request, fault):
-        return self.ends_under(request) or super().plain(connection, request, fault)
+        return self.crash_on_marker(request) or super().plain(connection, request, fault)
 
     def stream(self, connection, request, fault):
-        return self.ends_under(request) or super().stream(connection, request, fault)
+        return self.crash_on_marker(request) or super().stream(connection, request, fault)
 
-    def ends_under(self, request):
+    def crash_on_marker(self, request):
         if CRASH not in request["body"]:
             return False
         with self.lock:
             self.crash_arrivals.append(time.monotonic())
-            lives_before = len(self.ends)
-        time.sleep(self.RUNS_FOR)
-        self.end(lives_before)
-        raise ConnectionError("the process has ended")
+            crashes_before = len(self.crash_times)
+        time.sleep(self.CRASH_DELAY_S)
+        self.crash(crashes_before)
+        raise ConnectionError("the upstream has crashed")
 
-    def end(self, lives_before=None):
-        """Ends this life, unless it has ended already."""
+    def crash(self, crashes_before=None):
+        """Crashes, unless it is down, or has crashed since crashes_before was read."""
         with self.lock:
-            if self.released.is_set() or (lives_before is not None and len(self.ends) != lives_before):
+            if self.released.is_set() or (crashes_before is not None and len(self.crash_times) != crashes_before):
                 return
-            self.ends.append(time.monotonic())
-            # A blocked accept would keep the port open.
+            self.crash_times.append(time.monotonic())
+            # A blocked accept() would keep the port open.
             self.listener.shutdown(socket.SHUT_RDWR)
             self.listener.close()
             for connection in self.connections:
@@ -68,17 +68,17 @@
                     connection.shutdown(socket.SHUT_RDWR)
                 except OSError:
                     pass
-        threading.Timer(self.PAUSE, self.start_again).start()
+        threading.Timer(self.RESTART_DELAY_S, self.restart).start()
 
-    def start_again(self):
+    def restart(self):
         with self.lock:
             if self.released.is_set():
                 return
             self.listener = socket.create_server(("127.0.0.1", self.port))
-            self.born += 1000 * len(self.ends)
+            self.born += 1000 * len(self.crash_times)
             before = self.instance
-            if len(self.ends) % 2:
-                self.instance = f"{self.name}-{len(self.ends)}"
+            if len(self.crash_times) % 2:
+                self.instance = f"{self.name}-{len(self.crash_times)}"
         threading.Thread(target=self.accept, daemon=True).start()
         if self.instance != before:
             self.store.put("keyed.servers", before, None)
