--- a/Tests/Processes/test_once.py
+++ b/Tests/Processes/test_once.py
@@ -1,7 +1,7 @@
-"""Calls that may not be repeated, through real daemons, under faults.
+"""Calls that must run at most once, through real daemons, under faults.
 
-The plain service counts how often each call ran; no key may ever show a two, and
-whatever was refused as not-run must not have run.
+The stand-in service counts the runs of each call. No key may have more than one run, and a call that was
+refused as not-run must not have run.
 """
 
 import json
@@ -57,14 +57,14 @@
         reply = self.entries[1].call("POST", "/services/book/other", "{}", {"X-Call": "b", "Idempotency-Key": used})
         self.assertEqual((reply.status, reply.error()["reason"]), (422, "key-reused"))
 
-    def test_keys_out_of_the_window_are_refused(self):
+    def test_keys_outside_the_window_are_refused(self):
         old = self.hold(self.entries[0], "c", Idempotency_Key=f"{int(time.time()) - 7200}-c")
         self.assertEqual((old.error()["reason"], old.error()["verdict"]), ("key-out-of-window", "may-have-run"))
         bare = self.hold(self.entries[0], "c", Idempotency_Key="c")
         self.assertEqual((bare.status, bare.error()["verdict"]), (400, "not-run"))
         self.assertEqual(self.runs("c"), 0)
 
-    def test_racing_resends_run_once(self):
+    def test_concurrent_resends_run_once(self):
         used = key("d")
         self.book.faults(delay_ms=100)
         replies = []
@@ -78,23 +78,23 @@
         self.assertTrue({reply.status for reply in replies} <= {200, 409})
         self.assertNotIn("not-run", {self.verdict(reply) for reply in replies})
 
-    def test_a_lost_reply_of_the_log_is_settled_by_reading(self):
+    def test_a_lost_reply_of_the_log_is_resolved_by_reading(self):
         self.log.faults(lose_replies=True)
         reply = self.hold(self.entries[0], "e", Idempotency_Key=key("e"))
         self.assertEqual(reply.status, 200)
         self.assertEqual(self.runs("e"), 1)
 
-    def test_an_append_that_takes_effect_too_late_never_runs(self):
+    def test_a_call_does_not_run_if_its_append_takes_effect_too_late(self):
         self.log.faults(delay_ms=5000)
         used = key("f")
         reply = self.hold(self.entries[0], "f", Idempotency_Key=used)
         self.assertEqual(reply.error()["verdict"], "not-run")
         self.log.faults(delay_ms=0)
-        # The late claim shows up, and its abandonment frees the key for a resend.
-        eventually(lambda: self.hold(self.entries[0], "f", Idempotency_Key=used).status == 200, "a resend runs")
+        # The delayed claim appears in the log and is abandoned, which frees the key for a resend.
+        eventually(lambda: self.hold(self.entries[0], "f", Idempotency_Key=used).status == 200, "the resend runs")
         self.assertEqual(self.runs("f"), 1)
 
-    def test_with_the_log_down_a_claim_has_not_run_and_a_ticket_works(self):
+    def test_a_claim_is_refused_and_a_ticket_works_while_the_log_is_down(self):
         self.log.stop()
         reply = self.hold(self.entries[0], "g", Idempotency_Key=key("g"))
         self.assertEqual((reply.error()["reason"], reply.error()["verdict"]), ("log-down", "not-run"))
@@ -102,7 +102,7 @@
         self.assertEqual(self.hold(self.entries[0], "h", Stagepost_Ticket=ticket).status, 200)
         self.assertEqual((self.runs("g"), self.runs("h")), (0, 1))
 
-    def test_a_dropped_answer_stays_in_doubt_for_ever(self):
+    def test_a_call_without_an_answer_stays_unresolved(self):
         self.book.faults(mode="drop-after-run")
         used = key("i")
         first = self.hold(self.entries[0], "i", Idempotency_Key=used)
@@ -119,7 +119,7 @@
         self.assertEqual(first.error()["verdict"], "not-run")
         self.book = self.service("book-2")
         self.vms.post("/v1/vms", [{"name": "book-1", "state": "gone"}])
-        eventually(lambda: self.hold(self.entries[1], "j", Idempotency_Key=used).status == 200, "a resend runs")
+        eventually(lambda: self.hold(self.entries[1], "j", Idempotency_Key=used).status == 200, "the resend runs")
         self.assertEqual(self.runs("j"), 1)
 
     def test_any_daemon_killed_at_any_step_leaves_at_most_one_run(self):
@@ -143,7 +143,7 @@
                 thread.join()
             self.assertLessEqual(self.runs(name), 1)
 
-    def test_a_paused_holder_that_wakes_up_runs_nothing_twice(self):
+    def test_a_paused_daemon_that_resumes_runs_nothing_twice(self):
         self.book.faults(delay_ms=300)
         used = key("l")
         for entry in self.entries:
@@ -172,7 +172,7 @@
         self.assertEqual(len(set(tickets)), 50)
         self.assertEqual(self.entries[0].call("POST", "/v1/tickets?count=x").error()["reason"], "bad-request")
 
-    def test_a_ticket_whose_holder_is_gone_is_in_doubt_and_never_runs(self):
+    def test_a_ticket_of_a_killed_daemon_stays_unresolved_and_never_runs(self):
         ticket = self.tickets(self.entries[0])[0]
         self.entries[0].kill()
         for entry in self.entries[1:]:
--- a/Tests/Processes/test_proxy.py
+++ b/Tests/Processes/test_proxy.py
@@ -1,4 +1,4 @@
-"""What callers see of one daemon when callers and upstreams misbehave."""
+"""The answers of one daemon when callers and upstreams misbehave."""
 
 import json
 import socket
@@ -24,12 +24,12 @@
         self.publish()
         self.serve(self.entry)
 
-    def refused(self, reply, status, reason, verdict="not-run"):
+    def assert_refused(self, reply, status, reason, verdict="not-run"):
         self.assertEqual((reply.status, reply.error()["reason"], reply.error()["verdict"]), (status, reason, verdict))
         self.assertEqual(reply.headers["Stagepost-Verdict"], verdict)
         self.assertGreaterEqual(self.entry.refusals(reason), 1)
 
-    def test_streams_the_whole_answer(self):
+    def test_a_whole_answer_is_streamed(self):
         reply = self.entry.chat(max_tokens=5)
         self.assertEqual(reply.status, 200)
         self.assertEqual([f"word{n} " in reply.body for n in range(6)], [True] * 5 + [False])
@@ -40,19 +40,19 @@
         second = self.entry.chat("what is 73", {"Stagepost-Chat": "c1"}, max_tokens=1)
         self.assertEqual((first.headers["X-Context"], second.headers["X-Context"]), ("new", "reused"))
 
-    def test_refusals_say_why(self):
-        self.refused(self.entry.call("POST", "/v1/chat/completions", "{"), 400, "bad-json")
-        self.refused(self.entry.call("POST", "/v1/chat/completions", "{}"), 400, "bad-json")
-        self.refused(self.entry.call("POST", "/v1/chat/completions", CHAT, token=None), 401, "missing-token")
-        self.refused(self.entry.call("POST", "/v1/chat/completions", CHAT, token="no"), 403, "wrong-token")
-        self.refused(self.entry.call("POST", "/v1/chat/completions", '{"model":"x","messages":[]}'), 404, "no-such-model")
-        self.refused(self.entry.call("GET", "/services/none/x"), 404, "no-such-service")
-        self.refused(self.entry.call("GET", "/elsewhere"), 404, "no-such-path")
-        self.refused(self.entry.call("GET", "/services/book/x"), 503, "no-upstream")
-        self.refused(self.entry.call("POST", "/v1/chat/completions", "x" * 3000), 413, "body-too-large")
-        self.refused(self.entry.call("GET", "/x", headers={"X-Long": "x" * 2000}), 431, "headers-too-large")
-
-    def test_what_is_not_http_is_refused(self):
+    def test_refusals_state_their_reason(self):
+        self.assert_refused(self.entry.call("POST", "/v1/chat/completions", "{"), 400, "bad-json")
+        self.assert_refused(self.entry.call("POST", "/v1/chat/completions", "{}"), 400, "bad-json")
+        self.assert_refused(self.entry.call("POST", "/v1/chat/completions", CHAT, token=None), 401, "missing-token")
+        self.assert_refused(self.entry.call("POST", "/v1/chat/completions", CHAT, token="no"), 403, "wrong-token")
+        self.assert_refused(self.entry.call("POST", "/v1/chat/completions", '{"model":"x","messages":[]}'), 404, "no-such-model")
+        self.assert_refused(self.entry.call("GET", "/services/none/x"), 404, "no-such-service")
+        self.assert_refused(self.entry.call("GET", "/elsewhere"), 404, "no-such-path")
+        self.assert_refused(self.entry.call("GET", "/services/book/x"), 503, "no-upstream")
+        self.assert_refused(self.entry.call("POST", "/v1/chat/completions", "x" * 3000), 413, "body-too-large")
+        self.assert_refused(self.entry.call("GET", "/x", headers={"X-Long": "x" * 2000}), 431, "headers-too-large")
+
+    def test_input_that_is_not_http_is_refused(self):
         with raw(self.entry.endpoint) as connection:
             connection.sendall(b"\x16\x03\x01 not http\r\n\r\n")
             self.assertIn(b"bad-request", read_all(connection))
@@ -63,36 +63,37 @@
             read_all(connection)
         self.assertEqual(self.entry.refusals("slow-caller"), 1)
 
-    def test_a_caller_that_leaves_cancels_its_stream(self):
+    def test_a_stream_is_cancelled_if_its_caller_disconnects(self):
         connection = raw(self.entry.endpoint)
         connection.sendall(head("/v1/chat/completions", CHAT))
         connection.recv(100)
         connection.close()
-        eventually(lambda: self.engine_1.get("/v1/status")["in_flight"] == 0, "the engine's stream ends")
-        eventually(lambda: self.entry.refusals("caller-gone") == 1, "counted")
-        eventually(lambda: self.entry.metric("stagepost_open_leases") == 0, "the lease is given back")
+        eventually(lambda: self.engine_1.get("/v1/status")["in_flight"] == 0, "the engine's stream is cancelled")
+        eventually(lambda: self.entry.refusals("caller-gone") == 1, "the refusal is counted")
+        eventually(lambda: self.entry.metric("stagepost_open_leases") == 0, "the lease is released")
 
-    def test_a_half_closed_caller_is_taken_for_gone(self):
+    def test_a_half_closed_connection_counts_as_disconnected(self):
         with raw(self.entry.endpoint) as connection:
             connection.sendall(head("/v1/chat/completions", CHAT))
             connection.shutdown(socket.SHUT_WR)
             read_all(connection)
-        eventually(lambda: self.entry.refusals("caller-gone") == 1, "counted")
+        eventually(lambda: self.entry.refusals("caller-gone") == 1, "the refusal is counted")
 
-    def test_a_caller_that_reads_slowly_holds_the_engine_back(self):
+    def test_a_slow_caller_slows_the_engine_down(self):
         fast = self.engine("engine-2", token_ms=0)
-        eventually(lambda: self.entry.metric("stagepost_upstreams") == 2, "both engines")
+        eventually(lambda: self.entry.metric("stagepost_upstreams") == 2, "both engines are known")
         self.vms.post("/v1/vms", [{"name": "engine-1", "state": "gone"}])
-        eventually(lambda: self.entry.metric("stagepost_upstreams") == 1, "only the fast engine")
+        eventually(lambda: self.entry.metric("stagepost_upstreams") == 1, "only the fast engine is left")
         with raw(self.entry.endpoint) as connection:
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             connection.sendall(head("/v1/chat/completions", CHAT.replace("100000", "3000000")))
             connection.recv(100)
             time.sleep(0.5)
-            # 3,000,000 events are some 250 MB; what is under way is bounded by the sockets' buffers.
+            # 3,000,000 events take about 250 MB. The socket buffers bound the data in transit, so the stream
+            # is still running.
             self.assertEqual(fast.get("/v1/status")["in_flight"], 1)
 
-    def test_an_engine_that_cuts_a_stream_is_said_so(self):
+    def test_the_caller_is_informed_of_a_truncated_stream(self):
         self.engine_1.faults(mode="cut")
         with raw(self.entry.endpoint) as connection:
             connection.sendall(head("/v1/chat/completions", CHAT))
@@ -109,9 +110,9 @@
         self.assertNotIn(b"chunked", answer)
         self.assertTrue(answer.endswith(b"[DONE]\n\n"))
 
-    def test_a_refusing_engine_is_passed_over(self):
+    def test_a_refused_request_is_retried_on_another_engine(self):
         second = self.engine("engine-2")
-        eventually(lambda: self.entry.metric("stagepost_upstreams") == 2, "both engines")
+        eventually(lambda: self.entry.metric("stagepost_upstreams") == 2, "both engines are known")
         self.engine_1.faults(mode="refuse")
         replies = [self.entry.chat(f"chat {n}", max_tokens=1) for n in range(8)]
         self.assertEqual({reply.headers["X-Engine"] for reply in replies if reply.status == 200}, {"engine-2"})
@@ -130,7 +131,7 @@
     def call(self, name, method="GET"):
         return self.entry.call(method, f"/services/book/{name}", headers={"X-Call": name})
 
-    def test_methods_and_targets_pass(self):
+    def test_methods_and_targets_are_forwarded(self):
         self.assertEqual(json.loads(self.call("a?x=1").body)["target"], "/a?x=1")
         self.assertEqual(json.loads(self.call("b", "DELETE").body)["call"], "b")
 
@@ -139,7 +140,7 @@
             self.book.faults(mode="surplus", echoes=echoes)
             for number in range(12):
                 reply = self.call(f"call-{number}")
-                # At any delay after the answer before, each caller gets its own.
+                # Each caller must get its own answer, regardless of the delay after the previous one.
                 time.sleep(0.005 * (number % 9))
                 if reply.status == 200:
                     self.assertEqual(json.loads(reply.body)["call"], f"call-{number}")
@@ -152,17 +153,17 @@
         self.assertEqual((reply.status, reply.error()["reason"], reply.error()["verdict"]), (502, "upstream-broken", "may-have-run"))
         self.assertEqual(self.book.get("/runs"), {"stock-hold": 1})
 
-    def test_a_slow_upstream_is_given_up_on(self):
+    def test_a_slow_upstream_times_out(self):
         self.book.faults(mode="hang")
         reply = self.call("slow", "POST")
         self.assertEqual((reply.status, reply.error()["reason"], reply.error()["verdict"]), (504, "upstream-slow", "may-have-run"))
 
-    def test_an_unreachable_upstream_has_not_run_it(self):
+    def test_a_request_to_an_unreachable_upstream_has_not_run(self):
         self.book.stop()
         reply = self.call("lost", "POST")
         self.assertEqual((reply.error()["reason"], reply.error()["verdict"]), ("upstream-refused", "not-run"))
 
-    def test_half_an_answer_is_not_passed_off_as_a_whole_one(self):
+    def test_a_truncated_answer_is_recognisable(self):
         self.book.faults(mode="half")
         with raw(self.entry.endpoint) as connection:
             connection.sendall(head("/services/book/half", "x"))
@@ -173,7 +174,7 @@
 
 
 class Limits(Fleet):
-    def test_an_organisation_over_its_limits_is_told_when_to_come_back(self):
+    def test_an_organisation_over_its_rate_limit_gets_retry_after(self):
         entry = self.daemon()
         self.service()
         self.publish(self.settings(organisation="requests_per_second = 1.0"))
@@ -183,7 +184,7 @@
         self.assertEqual(replies[-1].error()["reason"], "organisation-rate")
         self.assertGreaterEqual(int(replies[-1].headers["Retry-After"]), 1)
 
-    def test_a_full_engine_refuses_early(self):
+    def test_requests_beyond_the_cap_of_an_engine_are_refused(self):
         entry = self.daemon()
         engine = self.engine(token_ms=50)
         self.publish(self.settings(pool="most_in_flight = 2\nleast_cap = 2\nqueue_wait_ms = 100"))
@@ -203,7 +204,7 @@
 
 
 class Drain(Fleet):
-    def test_a_planned_stop_cuts_no_stream_and_refuses_nothing(self):
+    def test_a_planned_stop_aborts_no_stream_and_refuses_nothing(self):
         entry = self.daemon()
         self.engine(token_ms=20)
         self.publish()
@@ -212,8 +213,8 @@
             connection.sendall(head("/v1/chat/completions", CHAT.replace("100000", "60")))
             connection.recv(50)
             entry.terminate()
-            eventually(lambda: not entry.ready(), "unready at once")
-            # A balancer that has not noticed yet still gets its answers.
+            eventually(lambda: not entry.ready(), "the daemon is not ready")
+            # The load balancer sends requests until its next check of the readiness.
             self.assertEqual(entry.chat("late", max_tokens=1).status, 200)
             self.assertTrue(read_all(connection).endswith(b"0\r\n\r\n"))
         self.assertEqual(entry.process.wait(30), 0)
