--- a/Tests/Processes/fleet.py
+++ b/Tests/Processes/fleet.py
@@ -1,7 +1,7 @@
-"""Starts real daemons and stand-ins on loopback for the failure tests.
+"""Starts daemons and stand-ins on loopback for the failure tests.
 
-Every port is a free one, everything that was started is stopped by its process
-id, and waiting is for a condition, never for a time that has to be enough.
+All ports are free ones, started processes are stopped by their process id, and tests wait for
+conditions instead of fixed times.
 """
 
 import http.client
@@ -39,14 +39,14 @@
 
 
 def eventually(condition, what):
-    """Waits until the condition holds and gives its value."""
+    """Waits until the condition holds and returns its value."""
     end = time.monotonic() + PATIENCE
     while time.monotonic() < end:
         value = condition()
         if value:
             return value
         time.sleep(0.02)
-    raise AssertionError(f"never: {what}")
+    raise AssertionError(f"timed out waiting for: {what}")
 
 
 class StandIn:
@@ -70,7 +70,7 @@
 
 
 class LoggedProcess:
-    """A daemon whose log is read while it runs; the line of its start gives its addresses."""
+    """A daemon whose log is read while it runs. Its addresses are parsed from the log line of its start."""
 
     def __init__(self, arguments, started, environment=None):
         self.pattern = re.compile(started)
@@ -181,7 +181,7 @@
 
 
 class Fleet(unittest.TestCase):
-    """A test with a log, a list of VMs, and whatever it starts besides."""
+    """A test with a stand-in log and VM list, and helpers to start daemons and upstreams."""
 
     def setUp(self):
         self.log = self.stand_in("log")
@@ -226,7 +226,7 @@
             os.unlink(path)
 
     def serve(self, *daemons, upstreams=1):
-        """Waits until the daemons are ready and see that many upstreams."""
+        """Waits until the daemons are ready and know at least that many upstreams."""
         for daemon in daemons:
             eventually(daemon.ready, f"{daemon.name} ready")
-            eventually(lambda daemon=daemon: daemon.metric("stagepost_upstreams") >= upstreams, "upstreams seen")
+            eventually(lambda daemon=daemon: daemon.metric("stagepost_upstreams") >= upstreams, f"{daemon.name} knows {upstreams} upstreams")
--- a/Tests/Processes/test_fleet.py
+++ b/Tests/Processes/test_fleet.py
@@ -1,4 +1,4 @@
-"""Several daemons together: settings, membership, halls, planned stops."""
+"""Fleets of several daemons: settings, membership, halls and planned stops."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 
 
 class Settings(Fleet):
-    def test_racing_publishers_have_one_winner(self):
+    def test_only_one_of_several_concurrent_publishers_succeeds(self):
         entries = [self.daemon(f"entry-{n}") for n in range(2)]
         self.publish()
         self.serve(*entries, upstreams=0)
@@ -35,7 +35,7 @@
         for entry in entries:
             self.assertEqual(entry.metric("stagepost_settings_revision"), 2)
 
-    def test_taking_something_away_needs_a_flag(self):
+    def test_removals_require_a_flag(self):
         entry = self.daemon()
         self.publish()
         self.serve(entry, upstreams=0)
@@ -46,7 +46,7 @@
         self.assertEqual(self.publish("[fleet]\n", "--allow-removals").returncode, 0)
         self.assertIn("author=tester", ctl(self, "history").stdout)
 
-    def test_a_refused_request_leaves_a_line(self):
+    def test_a_refused_request_is_logged(self):
         entry = self.daemon()
         self.publish()
         self.serve(entry, upstreams=0)
@@ -54,7 +54,7 @@
         line = eventually(lambda: next((line for line in entry.lines if "event=request" in line), None), "the line")
         self.assertIn("path=/services/book/x reason=wrong-token verdict=not-run", line)
 
-    def test_a_lost_reply_is_settled_by_reading(self):
+    def test_a_lost_reply_is_resolved_by_reading(self):
         entry = self.daemon()
         self.log.faults(lose_replies=True)
         result = self.publish()
@@ -68,11 +68,11 @@
         cut = Daemon(self, "entry-2", "north", ("--log", "127.0.0.1:1"))
         self.addCleanup(cut.stop)
         self.list_vm(name="entry-2", hall="north", role="entry", endpoint=cut.endpoint, peer=cut.peer)
-        eventually(cut.ready, "ready by its peer's settings")
+        eventually(cut.ready, "ready with the settings of its peer")
         self.publish(self.settings(pool="queue_length = 5"))
-        eventually(lambda: cut.metric("stagepost_settings_revision") == 2, "the next change as well")
+        eventually(lambda: cut.metric("stagepost_settings_revision") == 2, "the next change has arrived")
 
-    def test_settings_outlive_the_logs_retention(self):
+    def test_settings_outlast_the_retention_of_the_log(self):
         entry = self.daemon()
         self.publish(self.settings(fleet="log_retention_s = 8\nclaim_window_s = 2"))
         self.serve(entry, upstreams=0)
@@ -82,13 +82,13 @@
         for _ in range(3):
             self.log.post("/v1/streams/settings/records", "not a publication")
             time.sleep(0.3)
-        eventually(lambda: json.loads(ctl(self, "history", "--json").stdout or "[]"), "a snapshot after the change is forgotten")
+        eventually(lambda: json.loads(ctl(self, "history", "--json").stdout or "[]"), "a snapshot replaces the deleted change")
         entry.kill()
         fresh = self.daemon("entry-2")
-        eventually(fresh.ready, "ready from a snapshot alone")
+        eventually(fresh.ready, "ready with only a snapshot")
         self.assertEqual(fresh.metric("stagepost_settings_revision"), 1)
 
-    def test_what_is_published_where_the_log_lost_something_comes_into_force(self):
+    def test_a_change_at_the_offset_of_lost_records_takes_effect(self):
         entry = self.daemon()
         self.publish()
         self.serve(entry, upstreams=0)
@@ -96,12 +96,12 @@
             self.log.post("/v1/streams/settings/records", "not a publication")
         time.sleep(0.5)
         self.log.faults(lose_last=4)
-        # It stands at an offset that was read before.
+        # The daemon has already read the offset of this change.
         self.publish(self.settings(pool="queue_length = 5"))
-        eventually(lambda: entry.metric("stagepost_settings_revision") == 2, "the change")
+        eventually(lambda: entry.metric("stagepost_settings_revision") == 2, "the change is in force")
         self.assertTrue(any("event=log-returned stream=settings returns=1" in line for line in entry.lines))
 
-    def test_an_outage_of_the_platform_changes_nothing_for_callers(self):
+    def test_callers_are_served_during_an_outage_of_the_platform(self):
         entry = self.daemon()
         self.engine()
         self.publish()
@@ -112,7 +112,7 @@
         self.assertTrue(entry.ready())
         self.assertEqual(entry.chat(max_tokens=1).status, 200)
 
-    def test_strangers_get_no_settings_and_cannot_drain(self):
+    def test_unauthenticated_peers_get_no_settings_and_cannot_drain(self):
         entry = self.daemon()
         self.publish()
         self.serve(entry, upstreams=0)
@@ -123,7 +123,7 @@
 
 
 class Tool(Fleet):
-    def test_the_tool_from_check_to_drain(self):
+    def test_commands_from_check_to_drain(self):
         entries = [self.daemon(f"entry-{n}") for n in range(2)]
         self.engine()
         path = f"/tmp/stagepost-tool-{os.getpid()}.toml"
@@ -149,9 +149,9 @@
         self.assertEqual([row["ready"] for row in status], [True, True])
         self.assertEqual(ctl(self, "drain", "entry-1").returncode, 0)
         eventually(lambda: not entries[1].ready(), "drained")
-        eventually(lambda: entries[0].metric("stagepost_owned_upstreams") == 1, "the other owns the engine")
+        eventually(lambda: entries[0].metric("stagepost_owned_upstreams") == 1, "the other daemon owns the engine")
         self.assertEqual(ctl(self, "undrain", "entry-1").returncode, 0)
-        eventually(entries[1].ready, "back")
+        eventually(entries[1].ready, "ready again")
 
     def test_usage_errors_exit_with_2(self):
         for arguments in (["nonsense"], [], ["publish"], ["status", "--vm-list", "nowhere"]):
@@ -182,26 +182,26 @@
             eventually(lambda entry=entry: entry.metric("stagepost_daemons") == 2, "the loss is known")
         eventually(lambda: sum(entry.metric("stagepost_owned_upstreams") for entry in entries[1:]) == 2, "every engine has one owner")
 
-    def test_a_frozen_daemon_is_passed_over_and_comes_back(self):
+    def test_a_frozen_daemon_is_removed_and_returns(self):
         entries = self.three()
         entries[0].process.send_signal(signal.SIGSTOP)
         self.assertEqual(set(self.chats(entries[1])), {200})
-        eventually(lambda: entries[1].metric("stagepost_daemons") == 2, "taken for dead")
+        eventually(lambda: entries[1].metric("stagepost_daemons") == 2, "the frozen daemon is considered failed")
         entries[0].process.send_signal(signal.SIGCONT)
-        eventually(lambda: entries[1].metric("stagepost_daemons") == 3, "it refutes that")
+        eventually(lambda: entries[1].metric("stagepost_daemons") == 3, "the frozen daemon is back")
         self.assertEqual(set(self.chats(entries[0])), {200})
 
-    def test_a_vm_that_comes_back_with_its_address_is_taken_in(self):
+    def test_a_vm_that_returns_at_its_address_rejoins(self):
         entries = self.three()
         endpoint, peer = entries[0].endpoint, entries[0].peer
         entries[0].kill()
-        eventually(lambda: entries[1].metric("stagepost_daemons") == 2, "lost")
+        eventually(lambda: entries[1].metric("stagepost_daemons") == 2, "the loss is known")
         again = self.daemon("entry-0", listen=endpoint, peer=peer)
-        eventually(lambda: entries[1].metric("stagepost_daemons") == 3, "back")
+        eventually(lambda: entries[1].metric("stagepost_daemons") == 3, "the VM is back")
         self.serve(again, upstreams=2)
         self.assertEqual(set(self.chats(again)), {200})
 
-    def test_a_leaving_engine_gets_no_new_work(self):
+    def test_a_leaving_engine_gets_no_new_requests(self):
         entries = self.three()
         self.list_vm(name="engine-1", hall="north", role="upstream", state="leaving",
                      endpoint=request(self.vms.endpoint, "GET", "/v1/vms?since=0").body.split('"endpoint":"')[1].split('"')[0], serves="pools.assistant")
@@ -209,32 +209,32 @@
         engines = {entry.chat(f"late {n}", max_tokens=1).headers["X-Engine"] for entry in entries for n in range(6)}
         self.assertEqual(engines, {"engine-2"})
 
-    def test_a_lost_hall_is_left_out(self):
+    def test_a_lost_hall_gets_no_requests(self):
         entries = self.three(entry_2="south")
-        far = self.engine("engine-3", "south")
-        eventually(lambda: entries[0].metric("stagepost_upstreams") == 3, "the far engine")
+        remote = self.engine("engine-3", "south")
+        eventually(lambda: entries[0].metric("stagepost_upstreams") == 3, "the remote engine is known")
         self.assertEqual(set(self.chats(entries[0], 12)), {200})
         entries[2].kill()
-        far.stop()
-        eventually(lambda: entries[0].metric("stagepost_upstreams") == 2, "the hall is out of reach")
+        remote.stop()
+        eventually(lambda: entries[0].metric("stagepost_upstreams") == 2, "the hall is unreachable")
         self.assertEqual(set(self.chats(entries[0], 12)), {200})
 
-    def test_all_daemons_are_replaced_under_load_without_a_lost_request(self):
+    def test_no_request_fails_while_all_daemons_are_replaced_under_load(self):
         entries = self.three()
         stop = threading.Event()
         failures, answers = [], []
         live = list(entries)
 
         def load(number):
-            turn = 0
+            iteration = 0
             while not stop.is_set():
-                turn += 1
-                # The balancer sends to daemons that say they are ready.
+                iteration += 1
+                # A load balancer sends requests only to ready daemons.
                 ready = [entry for entry in list(live) if entry.ready()]
                 if not ready:
                     continue
                 try:
-                    reply = ready[(number + turn) % len(ready)].chat(f"load {number} {turn}", max_tokens=20)
+                    reply = ready[(number + iteration) % len(ready)].chat(f"load {number} {iteration}", max_tokens=20)
                     (answers if reply.status == 200 and reply.body.endswith("[DONE]\n\n") else failures).append(reply.body)
                 except OSError as failure:
                     failures.append(repr(failure))
