--- a/Tests/Processes/platform_stand_ins.py
+++ b/Tests/Processes/platform_stand_ins.py
@@ -1,7 +1,7 @@
-"""Stand-ins for the users' platform on loopback: its store and its upstreams.
+"""Stand-ins on loopback for the users' platform: its store and its upstreams.
 
-They run in the test's own process, so that a test changes how they behave between
-two requests, and they note all that they were sent.
+They run in the process of the test, so that a test can change their behaviour between requests, and
+they record all requests.
 """
 
 import base64
@@ -25,7 +25,7 @@
         self.thread.start()
 
     def handle_error(self, request, client_address):
-        pass  # a daemon that closes its connection is no failure of the test
+        pass  # Daemons may close their connections at any time
 
     def stop(self):
         self.shutdown()
@@ -35,8 +35,8 @@
 class Store:
     """The keyed topics of the platform's store.
 
-    mode: "up", "silent" (no answer), "busy" (503), "reset", or "lost" (calls are
-    done and not answered).
+    mode: "up", "silent" (no answer), "busy" (503), "reset" (closes the connection), or
+    "lost" (executes calls, but doesn't answer them).
     """
 
     def __init__(self):
@@ -44,13 +44,13 @@
         self.topics = {}
         self.first = {}
         self.mode = "up"
-        # Topics that cannot be reached while the others can.
+        # Topics that are unreachable.
         self.topics_down = set()
         self.page_size = 500
-        # How often it has come back from a copy; None where it does not say.
+        # The number of restores from a backup; None to omit it from replies.
         self.era = None
-        # Answers a read from where it has nothing by 410, also far behind the end.
-        self.refuses_behind_end = False
+        # Answers reads beyond the end of a topic with 410.
+        self.rejects_reads_beyond_end = False
         self.calls = []
         store = self
 
@@ -69,28 +69,28 @@
         self.handler = Handler
         self.server = Server(Handler)
         self.endpoint = self.server.endpoint
-        self.doors = []
+        self.extra_servers = []
 
     def stop(self):
         with self.changed:
             self.mode = "reset"
             self.changed.notify_all()
-        for server in [self.server, *self.doors]:
+        for server in [self.server, *self.extra_servers]:
             server.stop()
 
-    def door(self):
-        """Another address of the same store, whose `is_busy` turns its callers alone away."""
-        door = Server(self.handler)
-        door.is_busy = False
-        self.doors.append(door)
-        return door
+    def add_server(self):
+        """Adds another address of the store. Set its `is_busy` to answer only its callers with 503."""
+        server = Server(self.handler)
+        server.is_busy = False
+        self.extra_servers.append(server)
+        return server
 
     def put(self, topic, key, value):
-        """Adds a record; a value of None takes its key away."""
+        """Adds a record; a value of None removes the key."""
         self.put_raw(topic, key, b"" if value is None else json.dumps(value).encode())
 
     def put_raw(self, topic, key, text):
-        """Adds a record of any bytes."""
+        """Adds a record with an arbitrary byte string."""
         with self.changed:
             self.topics.setdefault(topic, []).append((key, text))
             self.changed.notify_all()
@@ -99,11 +99,11 @@
         with self.changed:
             return {topic: list(records) for topic, records in self.topics.items()}
 
-    def return_to(self, copy, written=()):
-        """Comes back from the copy; what is given was written before anybody could read."""
+    def return_to(self, backup, written=()):
+        """Restores the backup and appends the given records before any reader can see it."""
         with self.changed:
             for topic in self.topics:
-                self.topics[topic] = list(copy.get(topic, []))
+                self.topics[topic] = list(backup.get(topic, []))
             for topic, key, value in written:
                 self.topics.setdefault(topic, []).append((key, b"" if value is None else json.dumps(value).encode()))
             self.first = {}
@@ -156,7 +156,7 @@
     def answer_read(self, handler, query):
         topic, start, era = query["topic"], int(query["from"]), self.era
         records = self.topics.setdefault(topic, [])
-        if start > len(records) and self.refuses_behind_end:
+        if start > len(records) and self.rejects_reads_beyond_end:
             self.reply(handler, 410, json.dumps({"first": self.first.get(topic, 0)}).encode())
             return
         self.changed.wait_for(lambda: len(records) > start or self.mode != "up" or self.era != era or self.first.get(topic, 0) > start, int(query.get("waitMs", 0)) / 1000)
@@ -200,22 +200,23 @@
 
 
 class Upstream:
-    """One worker of the platform: plain answers, or a stream on /stream/ paths.
+    """A worker of the platform that sends plain answers, or a stream on /stream/ paths.
 
-    fault: None, "refuse" (503, not run), "other-instance" (421), "fail" (500),
-    "mute" (no answer), "cut" (breaks off midway), "unsigned", "foreign" (another
-    request's id), "extra" (bytes after a whole answer), "early" (answers before
-    the body), "unframed" (no length), "unframed-reset".
+    fault: None, "refuse" (503, not run), "other-instance" (421), "fail" (500), "mute" (no answer),
+    "cut" (truncated answer), "stall" (a stream stops without an end), "unsigned" (no signature),
+    "foreign" (the id of another request), "extra" (bytes after a complete answer), "early" (answers
+    before it reads the body), "unframed" (no length), "unframed-reset" (no length, and the connection
+    is reset).
     """
 
     def __init__(self, instance, service, hall="north", slots=8):
         self.instance, self.service, self.hall, self.slots = instance, service, hall, slots
         self.fault = None
-        # Faults of the next requests, one each; they go before the lasting one.
+        # Faults of the next requests, one each. They take precedence over fault.
         self.next_faults = []
-        # With "refuse", for how many seconds it wants nothing; None where it does not say.
+        # With "refuse", the requested back-off in seconds; None to request none.
         self.rest = None
-        # Whether its answers say that it leaves.
+        # Whether its answers announce that it is leaving.
         self.says_leaving = False
         self.requests = []
         self.lock = threading.Lock()
--- a/Tests/Processes/test_platform.py
+++ b/Tests/Processes/test_platform.py
@@ -1,4 +1,4 @@
-"""The daemon on the users' platform, as its callers, upstreams and store see it."""
+"""The daemon on the users' platform, tested through its callers, upstreams and store."""
 
 import http.client
 import json
@@ -38,7 +38,7 @@
 
 
 class Entry(LoggedProcess):
-    """One daemon, started on free ports."""
+    """A daemon that listens on free ports."""
 
     def __init__(self, store, *extra, program=PROGRAM, environment=None):
         arguments = [program, "--name", "entry-1", "--hall", "north", "--listen", "127.0.0.1:0", "--ready-listen", "127.0.0.1:0",
@@ -70,7 +70,7 @@
         connection.close()
 
 
-class OnThePlatform(unittest.TestCase):
+class Platform(unittest.TestCase):
     def setUp(self):
         self.store = Store()
         self.addCleanup(self.store.stop)
@@ -110,9 +110,9 @@
         for upstream in upstreams:
             upstream.fault = fault
 
-    # What upstreams are told, and callers get.
+    # Forwarding of requests and answers.
 
-    def test_a_request_reaches_its_upstream_unaltered(self):
+    def test_a_request_is_forwarded_unchanged_without_forged_headers(self):
         reply = self.call("/confirm/a?b=c", "POST", "contact", X_Tenant="forged", X_Expect_Instance="forged", Kv_Fetch="forged")
         self.assertEqual(reply.status, 200)
         self.assertIn("/confirm/a?b=c contact", reply.body)
@@ -125,7 +125,7 @@
         self.assertIn(headers["x-expect-instance"], ("book-1", "book-2"))
         self.assertLessEqual(int(headers["x-deadline-ms"]), 1500)
 
-    def test_routes_and_keys_decide(self):
+    def test_routes_keys_and_limits_are_enforced(self):
         self.assertEqual(self.call("/elsewhere/").status, 404)
         self.assertEqual(self.call("/lookup/x", key="wrong").status, 401)
         self.assertEqual(self.call("/lookup/x", key=None).status, 401)
@@ -134,19 +134,19 @@
         self.assertEqual(self.call("/lookup/x", "POST", "x" * 200000).status, 413)
         self.assertEqual(self.call("/lookup/x", X_Long="x" * 9000).status, 431)
 
-    def test_each_refusal_is_one_line_with_its_id(self):
+    def test_a_refusal_is_logged_with_its_id(self):
         self.call("/lookup/x", key="wrong")
-        line = eventually(lambda: next((line for line in self.entry.lines if "id=attempt-1 " in line), None), "the line")
+        line = eventually(lambda: next((line for line in self.entry.lines if "id=attempt-1 " in line), None), "the refusal is logged")
         self.assertIn("outcome=refused reason=unknown-key", line)
 
-    # What may run twice, and what may not.
+    # Retries.
 
-    def test_a_refused_request_goes_to_another_upstream(self):
+    def test_a_refused_request_is_retried_at_another_upstream(self):
         self.books[0].fault = "refuse"
         for _ in range(8):
             self.assertEqual(self.call("/lookup/x").status, 200)
 
-    def test_a_call_that_may_not_be_repeated_runs_once_whatever_goes_wrong(self):
+    def test_an_unsafe_call_runs_once_under_any_fault(self):
         for fault, status in (("cut", 502), ("mute", 504), ("foreign", 502), ("unsigned", 502), ("unframed-reset", 502)):
             with self.subTest(fault=fault):
                 before = self.runs(self.books)
@@ -157,17 +157,17 @@
                 self.assertEqual(self.runs(self.books), before + 1)
                 self.set_fault(self.books, None)
 
-    def test_a_call_that_has_not_run_is_told_when_to_come_back(self):
+    def test_an_unsafe_call_that_has_not_run_gets_retry_after(self):
         self.set_fault(self.books, "refuse")
         reply = self.call("/confirm/x", "POST", "contact")
         self.assertEqual((reply.status, reply.error()["verdict"]), (503, "not-run"))
         self.assertLess(float(reply.headers["Retry-After"]), 0.5)
         self.assertEqual(self.runs(self.books), 0)
 
-    def test_a_repeatable_call_is_asked_for_again(self):
+    def test_a_safe_call_is_retried(self):
         for fault in ("cut", "mute", "foreign", "unsigned", "fail", "unframed-reset"):
             with self.subTest(fault=fault):
-                # Whichever is asked first.
+                # The fault applies to the upstream that is chosen first.
                 faults = [fault]
                 for book in self.books:
                     book.next_faults = faults
@@ -177,24 +177,24 @@
                 self.assertIn("/lookup/x", reply.body)
                 self.assertEqual(self.runs(self.books), before + 2)
 
-    def test_failures_of_the_upstream_come_back_unchanged(self):
+    def test_errors_of_the_upstream_are_forwarded_unchanged(self):
         self.set_fault(self.books, "fail")
         reply = self.call("/confirm/x", "POST", "contact")
         self.assertEqual((reply.status, reply.body), (500, "oops"))
         self.assertTrue(reply.headers["X-Response-Signature"].startswith("by-"))
 
-    def test_an_answer_without_length_is_whole_when_its_connection_ends_in_order(self):
+    def test_an_answer_without_length_is_complete_if_its_connection_is_closed_normally(self):
         self.set_fault(self.books, "unframed")
         reply = self.call("/confirm/x", "POST", "contact")
         self.assertEqual(reply.status, 200)
         self.assertTrue(reply.body.endswith("contact"))
 
-    def test_surplus_bytes_reach_nobody(self):
+    def test_surplus_bytes_are_discarded(self):
         self.set_fault(self.books, "extra")
         for number in range(12):
             self.assertEqual(self.call(f"/lookup/{number}").body.split(" ")[1], f"/lookup/{number}")
 
-    def test_an_answer_before_the_whole_body_ends_the_connection(self):
+    def test_the_connection_is_not_reused_after_an_answer_before_the_whole_body(self):
         self.set_fault(self.books, "early")
         reply = self.call("/confirm/x", "POST", "c" * 90000)
         self.assertEqual(reply.status, 503)
@@ -202,31 +202,31 @@
         reply = self.call("/confirm/x", "POST", "again")
         self.assertTrue(reply.body.endswith("again"))
 
-    def test_an_upstream_that_takes_no_connection_costs_nobody_a_call(self):
+    def test_no_call_fails_because_an_upstream_accepts_no_connection(self):
         self.books[0].listener.close()
         for _ in range(10):
             self.assertEqual(self.call("/confirm/x", "POST", "contact").status, 200)
 
-    def test_idle_connections_stay_within_this_daemons_part_of_what_upstreams_take(self):
+    def test_idle_connections_stay_within_the_share_of_the_daemon(self):
         services = [dict(service, maxConns=6) for service in manifest(3)["services"]]
         self.store.put("keyed.op", "config", manifest(5, services=services))
-        eventually(lambda: any("settings-in-force version=5" in line for line in self.entry.lines), "version 5")
+        eventually(lambda: any("settings-in-force version=5" in line for line in self.entry.lines), "version 5 is in force")
         for _ in range(12):
             self.assertEqual(self.call("/confirm/x", "POST", "contact").status, 200)
-        # A half of six is left to requests in flight.
-        eventually(lambda: all(book.connections_open <= 3 for book in self.books), "the others are closed")
+        # Half of the 6 connections is reserved for requests in flight.
+        eventually(lambda: all(book.connections_open <= 3 for book in self.books), "the excess connections are closed")
         services = [dict(service, maxConns=1) for service in services]
         self.store.put("keyed.op", "config", manifest(7, services=services))
-        eventually(lambda: any("settings-in-force version=7" in line for line in self.entry.lines), "version 7")
+        eventually(lambda: any("settings-in-force version=7" in line for line in self.entry.lines), "version 7 is in force")
         for _ in range(4):
             self.assertEqual(self.call("/lookup/x").status, 200)
-        eventually(lambda: any(book.connections_open == 0 for book in self.books), "none is kept")
+        eventually(lambda: any(book.connections_open == 0 for book in self.books), "no idle connection is left")
 
-    def test_the_final_answer_comes_by_the_routes_timeout(self):
+    def test_the_timeout_of_the_route_is_enforced(self):
         self.set_fault(self.books, "mute")
-        begin = time.monotonic()
+        start_time = time.monotonic()
         self.assertEqual(self.call("/confirm/x", "POST", "contact", X_Deadline_Ms="60000").status, 504)
-        self.assertLess(time.monotonic() - begin, PATIENCE)
+        self.assertLess(time.monotonic() - start_time, PATIENCE)
         self.assertEqual(self.runs(self.books), 1)
 
     # Streams.
@@ -237,7 +237,7 @@
     def words(self, reply):
         return [int(number) for number in re.findall(r"word(\d+)", reply.body)]
 
-    def test_a_stream_comes_whole_and_in_order(self):
+    def test_a_stream_is_complete_and_in_order(self):
         reply = self.stream("/stream/once/x")
         self.assertEqual(self.words(reply), [1, 2, 3, 4, 5, 6])
         self.assertIsNone(reply.headers["X-Test-Broken"])
@@ -247,20 +247,20 @@
             self.stream("/stream/once/x")
         self.assertIn(6, [len(chat.runs()) for chat in self.chats])
 
-    def test_a_context_stays_with_its_upstream_after_a_quiet_time(self):
-        # News of nothing in flight has come several times by then.
+    def test_a_context_stays_with_its_upstream_after_an_idle_period(self):
+        # By then, several load reports with no requests in flight have arrived.
         time.sleep(1)
         self.test_a_context_stays_with_its_upstream()
 
-    def test_the_other_upstream_is_named_as_the_contexts_source(self):
+    def test_the_other_upstream_is_named_as_the_source_of_the_context(self):
         self.stream("/stream/once/x")
         chosen, other = (self.chats if self.chats[0].runs() else self.chats[::-1])
         self.assertEqual(chosen.runs()[0]["headers"]["kv-fetch"], other.endpoint)
 
-    def test_a_broken_stream_is_taken_up_after_its_last_whole_event(self):
+    def test_a_broken_stream_is_resumed_after_its_last_complete_event(self):
         for chat in self.chats:
             chat.stop_after = 4
-        chosen = self.chosen_for_streams()
+        chosen = self.preferred_chat()
         chosen.next_faults = ["cut"]
         reply = self.stream("/stream/again/x")
         self.assertEqual(self.words(reply), [1, 2, 3, 4, 5, 6])
@@ -268,18 +268,18 @@
         other = self.chats[1 - self.chats.index(chosen)]
         self.assertEqual(other.runs()[-1]["headers"]["last-event-id"], "3")
 
-    def chosen_for_streams(self):
+    def preferred_chat(self):
         self.stream("/stream/again/x")
         return max(self.chats, key=lambda chat: len(chat.runs()))
 
-    def test_a_stalled_stream_is_taken_up_elsewhere(self):
+    def test_a_stalled_stream_is_resumed_at_another_upstream(self):
         for chat in self.chats:
             chat.stop_after = 3
-        chosen = self.chosen_for_streams()
+        chosen = self.preferred_chat()
         chosen.next_faults = ["stall"]
         self.assertEqual(self.words(self.stream("/stream/again/x")), [1, 2, 3, 4, 5, 6])
 
-    def test_a_stream_that_may_not_be_resumed_breaks_off(self):
+    def test_a_stream_that_is_not_resumable_is_aborted(self):
         for chat in self.chats:
             chat.stop_after = 4
             chat.fault = "cut"
@@ -287,7 +287,7 @@
         self.assertEqual((self.words(reply), reply.headers["X-Test-Broken"]), ([1, 2, 3], "1"))
         self.assertEqual(self.runs(self.chats), 1)
 
-    def test_a_caller_that_leaves_cancels_its_stream(self):
+    def test_a_stream_is_cancelled_if_its_caller_disconnects(self):
         for chat in self.chats:
             chat.events, chat.event_pause = 100000, 0.01
         connection = raw(self.entry.endpoint)
@@ -295,36 +295,36 @@
                             "Content-Length: 0\r\n\r\n").encode())
         connection.recv(1000)
         connection.close()
-        eventually(lambda: sum(chat.cancelled for chat in self.chats) == 1, "the upstream sees the caller's leaving")
+        eventually(lambda: sum(chat.cancelled for chat in self.chats) == 1, "the upstream's stream is cancelled")
 
     # Configuration.
 
-    def test_a_new_configuration_is_in_force_at_once(self):
+    def test_a_new_configuration_takes_effect(self):
         self.store.put("keyed.op", "config", manifest(9, tenants=[{"name": "club", "apiKeys": ["another-key"]}]))
         eventually(lambda: self.call("/lookup/x").status == 401, "the key is gone")
         self.assertEqual(self.call("/lookup/x", key="another-key").status, 200)
 
-    def test_an_older_configuration_never_comes_back(self):
+    def test_an_older_configuration_is_ignored(self):
         self.store.put("keyed.op", "config", manifest(2, routes=[]))
         self.store.put("keyed.op", "config", manifest(4))
-        eventually(lambda: any("settings-in-force version=4" in line for line in self.entry.lines), "version 4")
+        eventually(lambda: any("settings-in-force version=4" in line for line in self.entry.lines), "version 4 is in force")
         self.assertFalse(any("settings-in-force version=2" in line for line in self.entry.lines))
 
-    def test_a_configuration_that_cannot_be_read_changes_nothing_and_is_named(self):
-        broken = manifest(12)
-        broken["routes"][1]["timeoutMs"] = "soon"
-        self.store.put("keyed.op", "config", broken)
-        eventually(lambda: any("settings-rejected" in line and "routes[1].timeoutMs" in line for line in self.entry.lines), "the line")
+    def test_an_invalid_configuration_is_rejected_and_logged(self):
+        invalid = manifest(12)
+        invalid["routes"][1]["timeoutMs"] = "soon"
+        self.store.put("keyed.op", "config", invalid)
+        eventually(lambda: any("settings-rejected" in line and "routes[1].timeoutMs" in line for line in self.entry.lines), "the rejection is logged")
         self.assertEqual(self.call("/lookup/x").status, 200)
 
-    def test_forgotten_history_is_read_anew(self):
+    def test_a_topic_is_read_again_after_its_history_is_truncated(self):
         self.store.forget_history()
         self.store.put("keyed.op", "config", manifest(7, routes=[]))
-        eventually(lambda: self.call("/lookup/x").status == 404, "version 7")
+        eventually(lambda: self.call("/lookup/x").status == 404, "version 7 is in force")
 
-    def test_keys_are_refused_when_the_configuration_is_too_old_and_taken_again(self):
+    def test_keys_are_refused_while_the_configuration_is_too_old(self):
         self.store.mode = "busy"
-        refused = eventually(lambda: next((reply for reply in [self.call("/lookup/x")] if reply.status == 503), None), "refused")
+        refused = eventually(lambda: next((reply for reply in [self.call("/lookup/x")] if reply.status == 503), None), "the configuration is too old")
         self.assertEqual((refused.error()["reason"], refused.error()["verdict"]), ("settings-too-old", "not-run"))
         self.assertEqual(refused.headers["Connection"], "close")
         self.assertFalse(self.entry.is_ready())
@@ -333,9 +333,9 @@
         eventually(self.entry.is_ready, "ready again")
         self.assertEqual(self.call("/lookup/x").status, 200)
         self.assertTrue(any("event=store-lost" in line for line in self.entry.lines))
-        eventually(lambda: any("event=store-regained" in line for line in self.entry.lines), "regained")
+        eventually(lambda: any("event=store-regained" in line for line in self.entry.lines), "the store is back")
 
-    def test_a_process_that_was_paused_wakes_up_with_an_old_belief(self):
+    def test_keys_are_refused_if_the_configuration_became_too_old_during_a_pause(self):
         self.entry.process.send_signal(signal.SIGSTOP)
         self.store.mode = "busy"
         time.sleep(2.2)
@@ -343,26 +343,26 @@
         self.assertEqual(self.call("/lookup/x").status, 503)
         self.assertEqual(self.runs(self.books), 0)
 
-    def test_without_a_bound_keys_are_good_for_as_long_as_the_store_is_away(self):
+    def test_without_a_bound_keys_stay_valid_while_the_store_is_down(self):
         self.entry = self.start("--name", "entry-2", "--key-bound-ms", "0")
         self.store.mode = "busy"
-        # The daemon beside it has a bound, and is out of it by then.
-        eventually(lambda: any("event=unready" in line for line in self.entries[0].lines), "the bound of the other is over")
+        # The other daemon has a key bound. Once it is exceeded, the configuration is old enough for the test.
+        eventually(lambda: any("event=unready" in line for line in self.entries[0].lines), "the key bound of the other daemon is exceeded")
         self.assertTrue(self.entry.is_ready())
         self.assertEqual(self.call("/lookup/x").status, 200)
         self.assertEqual(self.call("/lookup/x", key="wrong").status, 401)
 
-    def test_without_a_bound_keys_follow_what_any_other_daemon_knows(self):
-        door = self.store.door()
-        self.entry = self.start("--name", "entry-2", "--key-bound-ms", "0", "--store", door.endpoint)
-        door.is_busy = True
+    def test_without_a_bound_key_changes_arrive_through_other_daemons(self):
+        server = self.store.add_server()
+        self.entry = self.start("--name", "entry-2", "--key-bound-ms", "0", "--store", server.endpoint)
+        server.is_busy = True
         self.store.put("keyed.op", "config", manifest(9, tenants=[{"name": "club", "apiKeys": ["another-key"]}]))
         eventually(lambda: self.call("/lookup/x").status == 401, "the key is gone")
         self.assertEqual(self.call("/lookup/x", key="another-key").status, 200)
         self.store.mode = "busy"
         self.store.put("keyed.op", "config", manifest(4))
-        door.is_busy, self.store.mode = False, "up"
-        eventually(lambda: any("event=store-regained" in line and "keyed.op" in line for line in self.entry.lines), "regained")
+        server.is_busy, self.store.mode = False, "up"
+        eventually(lambda: any("event=store-regained" in line and "keyed.op" in line for line in self.entry.lines), "the store is back")
         self.assertEqual(self.call("/lookup/x").status, 401)
 
     def test_a_daemon_without_a_configuration_refuses_as_not_run(self):
@@ -374,7 +374,7 @@
         self.assertEqual((reply.status, reply.error()["reason"]), (503, "no-settings"))
         self.assertEqual(entry.get_ready("/readyz").status, 503)
 
-    # Upstreams come and go.
+    # Changes of the upstreams.
 
     def test_a_leaving_upstream_gets_no_new_requests(self):
         self.store.put("keyed.servers", "book-1", self.books[0].record(state="draining"))
@@ -386,18 +386,18 @@
             self.call("/lookup/x")
         self.assertEqual(len(self.books[0].runs()), before)
 
-    def test_what_lapses_while_the_store_is_away_stays_until_it_had_time_to_return(self):
+    def test_upstreams_that_expire_during_an_outage_of_the_store_are_dropped_after_a_delay(self):
         self.store.mode = "busy"
-        eventually(lambda: any("event=store-lost" in line and "keyed.servers" in line for line in self.entry.lines), "lost")
+        eventually(lambda: any("event=store-lost" in line and "keyed.servers" in line for line in self.entry.lines), "the store is lost")
         time.sleep(0.5)
         for book in self.books:
             self.store.put("keyed.servers", book.instance, None)
         self.store.mode = "up"
-        eventually(lambda: any("event=store-regained" in line and "keyed.servers" in line for line in self.entry.lines), "regained")
+        eventually(lambda: any("event=store-regained" in line and "keyed.servers" in line for line in self.entry.lines), "the store is back")
         self.assertEqual(self.call("/open/x", key=None).status, 200)
-        eventually(lambda: self.call("/open/x", key=None).status == 503, "gone in the end")
+        eventually(lambda: self.call("/open/x", key=None).status == 503, "the upstreams are dropped")
 
-    def test_records_of_other_writers_name_no_upstream_and_the_others_hold(self):
+    def test_invalid_upstream_records_are_rejected(self):
         for number, text in enumerate([b"{", b"\xff\xfe", b"[" * 10000, b"null", b"7"]):
             with self.store.changed:
                 self.store.topics["keyed.servers"].append((f"other-{number}", text))
@@ -405,39 +405,39 @@
             self.store.put("keyed.servers", f"wrong-{number}", self.books[0].record(**fields))
         marker = self.upstream("book-3", "book")
         eventually(lambda: self.call("/lookup/x").status == 200 and marker.runs(), "the list was read")
-        # One that starts now reads them all as a list.
+        # A daemon that starts now reads the records as a list.
         self.entry = self.start("--name", "entry-2")
         self.assertEqual(self.call("/lookup/x").status, 200)
         rejected = [line for line in self.entries[0].lines if "event=upstream-rejected" in line]
         self.assertEqual(len(rejected), 10)
         self.assertIn("stagepost_upstream_records_rejected_total 10", self.entries[0].get_ready("/metrics").body)
 
-    def test_an_upstream_whose_record_turns_unreadable_gets_no_more_requests(self):
+    def test_an_upstream_whose_record_becomes_invalid_gets_no_further_requests(self):
         self.store.put("keyed.servers", "book-1", self.books[0].record(state="resting"))
-        eventually(lambda: any("event=upstream-rejected" in line for line in self.entry.lines), "it was read")
+        eventually(lambda: any("event=upstream-rejected" in line for line in self.entry.lines), "the record was read")
         before = len(self.books[0].runs())
         for _ in range(10):
             self.assertEqual(self.call("/lookup/x").status, 200)
         self.assertEqual(len(self.books[0].runs()), before)
 
-    def test_an_upstream_that_starts_again_under_its_name_is_judged_anew(self):
+    def test_the_failures_of_an_upstream_are_forgotten_when_it_restarts(self):
         for number, book in enumerate(self.books):
             self.store.put("keyed.servers", book.instance, book.record(born=1764000000000 + number))
-        eventually(lambda: sum("event=upstream-restarted" in line for line in self.entry.lines) >= 2, "both starts are known")
-        # The second one is left out for its failures, then starts again.
+        eventually(lambda: sum("event=upstream-restarted" in line for line in self.entry.lines) >= 2, "both restarts are known")
+        # The second upstream is excluded because of its failures, then restarts.
         self.set_fault(self.books[1:], "fail")
         for _ in range(12):
             self.call("/lookup/x")
         self.set_fault(self.books, None)
         self.store.put("keyed.servers", "book-2", self.books[1].record(born=1764000009000))
-        eventually(lambda: any("event=upstream-restarted instance=book-2" in line and "incarnation=1764000009000" in line for line in self.entry.lines), "the start is known")
+        eventually(lambda: any("event=upstream-restarted instance=book-2" in line and "incarnation=1764000009000" in line for line in self.entry.lines), "the restart is known")
         self.set_fault(self.books[:1], "refuse")
         before = len(self.books[1].runs())
         for _ in range(6):
             self.assertEqual(self.call("/lookup/x").status, 200)
         self.assertEqual(len(self.books[1].runs()), before + 6)
         self.set_fault(self.books, None)
-        # A late word of the process before, that it leaves, takes nothing away.
+        # A delayed record in which the previous process is leaving is ignored.
         self.store.put("keyed.servers", "book-2", self.books[1].record(born=1764000000001, state="draining"))
         self.store.put("keyed.servers", "book-1", self.books[0].record(born=1764000000000, state="draining"))
         marker = self.upstream("book-3", "book")
@@ -448,24 +448,24 @@
             self.assertEqual(self.call("/lookup/x").status, 200)
         self.assertEqual(len(self.books[1].runs()), before + 6)
 
-    def test_another_instance_at_the_address_runs_nothing(self):
+    def test_another_instance_at_the_address_of_an_upstream_runs_no_request(self):
         self.books[0].instance = "of-another-service"
         for _ in range(8):
             self.assertEqual(self.call("/confirm/x", "POST", "contact").status in (200, 503), True)
         self.assertEqual(self.books[0].runs(), [])
 
-    # Daemons find one another.
+    # Registration and discovery.
 
     def registration(self):
         return self.store.newest("keyed.stagepost").get("daemon/entry-1")
 
-    def test_a_removal_that_arrives_after_the_next_start_is_undone(self):
+    def test_a_delayed_removal_of_a_registration_is_undone(self):
         registered = self.registration()
         self.store.put("keyed.stagepost", "daemon/entry-1", None)
         self.assertIsNone(self.registration())
-        eventually(lambda: self.registration() == registered, "registered again")
+        eventually(lambda: self.registration() == registered, "the daemon is registered again")
         self.entry.process.terminate()
-        eventually(lambda: self.registration() is None, "removed by the planned stop")
+        eventually(lambda: self.registration() is None, "the planned stop removes the registration")
 
     def further_pages(self):
         return sum(1 for path, query in self.store.calls if path == "/log-newest" and "afterRev" in query and query["topic"] == "keyed.servers")
@@ -474,11 +474,11 @@
         for number in range(20):
             self.store.put("keyed.servers", f"other-{number:02}", self.books[0].record(service="other"))
         self.store.page_size = 5
-        # Either of the two may be the relay, which reads all pages.
+        # Either daemon may be the relay, which reads all pages.
         self.entry = self.start("--name", "entry-2")
         self.assertEqual(self.call("/lookup/x").status, 200)
 
-    def test_a_long_list_is_read_in_the_end_where_nobody_can_register(self):
+    def test_a_long_list_is_read_even_if_registration_is_impossible(self):
         for number in range(20):
             self.store.put("keyed.servers", f"other-{number:02}", self.books[0].record(service="other"))
         self.store.page_size = 5
@@ -488,14 +488,14 @@
         eventually(lambda: self.further_pages() >= 4, "all pages were read")
         eventually(entry.is_ready, "ready")
 
-    def test_others_reach_a_daemon_at_the_address_that_it_gives(self):
+    def test_the_configured_peer_address_is_registered(self):
         self.start("--name", "entry-2", "--peer-address", "127.0.0.1:1234")
         record = json.loads(self.store.newest("keyed.stagepost")["daemon/entry-2"])
         self.assertEqual(record["endpoint"], "127.0.0.1:1234")
 
     # Stopping.
 
-    def test_a_planned_stop_cuts_nothing_off(self):
+    def test_a_planned_stop_aborts_no_stream(self):
         for chat in self.chats:
             chat.events, chat.event_pause = 40, 0.01
         replies = []
@@ -503,15 +503,15 @@
         caller.start()
         eventually(lambda: self.runs(self.chats) == 1, "the stream runs")
         self.entry.process.terminate()
-        eventually(lambda: not self.entry.is_ready(), "unready")
-        # The balancer has not noticed yet: requests still come and are served.
+        eventually(lambda: not self.entry.is_ready(), "the daemon is not ready")
+        # The load balancer sends requests until its next check of the readiness. They are served.
         reply = self.call("/lookup/x")
         self.assertEqual((reply.status, reply.headers["Connection"]), (200, "close"))
         caller.join()
         self.assertEqual(len(self.words(replies[0])), 40)
         self.assertEqual(self.entry.process.wait(PATIENCE), 0)
 
-    def test_a_reload_cuts_nothing_off(self):
+    def test_a_reload_aborts_no_stream(self):
         for chat in self.chats:
             chat.events, chat.event_pause = 20, 0.01
         replies = []
@@ -523,7 +523,7 @@
         self.assertEqual(len(self.words(replies[0])), 20)
         self.assertTrue(any("event=reload" in line for line in self.entry.lines))
 
-    def test_metrics_are_served_beside_the_checks(self):
+    def test_metrics_are_served_on_the_ready_port(self):
         self.call("/lookup/x")
         text = self.entry.get_ready("/metrics").body
         self.assertIn("stagepost_answers_total 1", text)
@@ -534,8 +534,8 @@
         self.assertRegex(text, r'stagepost_counts_age_seconds\{service="[^"]+"\} ')
 
 
-class WithoutAReader(unittest.TestCase):
-    def test_a_log_that_nobody_reads_blocks_nothing(self):
+class UnreadOutput(unittest.TestCase):
+    def test_requests_are_served_while_the_output_is_not_read(self):
         store = Store()
         self.addCleanup(store.stop)
         book = Upstream("book-1", "book")
@@ -560,8 +560,8 @@
             except OSError:
                 return False
 
-        eventually(answers, "served")
-        # A line is some 500 bytes and a pipe holds 64 KiB.
+        eventually(answers, "the daemon serves requests")
+        # A log line has about 500 bytes, and a pipe holds 64 KiB.
         for _ in range(300):
             self.assertTrue(answers())
 
@@ -577,7 +577,7 @@
         self.assertEqual(result.returncode, 2)
         return result.stderr
 
-    def test_wrong_settings_name_flag_and_value(self):
+    def test_errors_in_settings_name_flag_and_value(self):
         self.assertIn("--name (or STAGEPOST_NAME) is missing", self.refused())
         right = ["--name", "e", "--hall", "h", "--listen", "127.0.0.1:0", "--ready-listen", "127.0.0.1:0", "--peer-listen", "127.0.0.1:0"]
         self.assertIn("--store: 'nowhere' is not IP:PORT", self.refused(*right, "--store", "nowhere"))
