--- a/Tests/Processes/test_suspension.py
+++ b/Tests/Processes/test_suspension.py
@@ -1,8 +1,9 @@
-"""A daemon whose VM is suspended for some seconds, beside one that is frozen.
+"""A daemon is suspended with its VM, or frozen as a process, for some seconds.
 
-The steady clock stands still while a VM is suspended, and goes on while a process is frozen. A daemon that
-counted on it woke up believing all to be as young as before: it handled nine of nine requests
-by a key that had been taken away six seconds before, where two are allowed, and said that it was ready.
+Guards against decisions by outdated state after a suspension. The steady clock stops while a VM is suspended, but
+not while a process is frozen. A daemon that measured the age of its state with this clock considered it current
+after the suspension: it accepted nine of nine requests with a key that had been removed 6 s before, where the
+limit is 2 s, and reported that it was ready.
 """
 
 import functools
@@ -17,14 +18,14 @@
 from platform_stand_ins import Store, Upstream
 from test_platform import HOST, KEY, Entry, manifest, request
 
-# The daemons' bound on keys is 2 s.
-AWAY = 3.0
-# The daemon with a steady clock that can be suspended.
+# Exceeds the key bound of the daemons, 2 s.
+PAUSE_S = 3.0
+# A daemon whose steady clock the test can stop.
 SUSPENDABLE = f"{BUILD}/Tests/StandIns/stagepostd-platform-suspendable"
 
 
 class SuspendedTime:
-    """How much of the time that passed a daemon's steady clock does not count."""
+    """The time during which the steady clock of a daemon was stopped."""
 
     def __init__(self):
         self.file = tempfile.NamedTemporaryFile()
@@ -33,7 +34,7 @@
 
     def add(self, seconds):
         self.seconds += seconds
-        # In one write, since the daemon reads at any time.
+        # A single write, since the daemon may read the file at any time.
         os.pwrite(self.file.fileno(), str(int(self.seconds * 1e9)).encode(), 0)
 
     def close(self):
@@ -46,38 +47,38 @@
         super().__init__(store, *extra, program=SUSPENDABLE, environment=self.suspended_time.environment)
 
     def freeze(self, seconds, meanwhile=lambda: None):
-        """The process stands still; its clocks go on."""
+        """Stops the process but not its clocks."""
         self.process.send_signal(signal.SIGSTOP)
-        began = time.monotonic()
+        start_time = time.monotonic()
         meanwhile()
-        time.sleep(max(0.0, seconds - (time.monotonic() - began)))
+        time.sleep(max(0.0, seconds - (time.monotonic() - start_time)))
         self.process.send_signal(signal.SIGCONT)
 
     def suspend(self, seconds, meanwhile=lambda: None):
-        """The VM stands still, and its steady clock with it."""
-        began = time.monotonic()
+        """Stops the process and its steady clock, as a suspension of the VM does."""
+        start_time = time.monotonic()
 
-        def leave_out():
+        def stop_clock():
             meanwhile()
-            time.sleep(max(0.0, seconds - (time.monotonic() - began)))
-            self.suspended_time.add(time.monotonic() - began)
+            time.sleep(max(0.0, seconds - (time.monotonic() - start_time)))
+            self.suspended_time.add(time.monotonic() - start_time)
 
-        self.freeze(seconds, leave_out)
+        self.freeze(seconds, stop_clock)
 
     def stop(self):
         super().stop()
         self.suspended_time.close()
 
 
-def in_both_ways(test):
-    """Both ways of standing still are to come to the same."""
+def suspended_and_frozen(test):
+    """Runs the test with a suspended VM and with a frozen process, which must behave alike."""
     @functools.wraps(test)
     def run(self):
-        for stand_still in (self.entry.suspend, self.entry.freeze):
-            with self.subTest(way=stand_still.__name__):
-                # It refuses for some milliseconds after the way before.
+        for pause in (self.entry.suspend, self.entry.freeze):
+            with self.subTest(way=pause.__name__):
+                # The daemon refuses requests for some milliseconds after the previous run.
                 eventually(self.entry.is_ready, "ready")
-                test(self, stand_still)
+                test(self, pause)
     return run
 
 
@@ -115,50 +116,50 @@
     def lose_store(self):
         self.store.mode = "busy"
 
-    def regain_store(self):
+    def restore_store(self):
         self.store.mode = "up"
         eventually(self.entry.is_ready, "ready again")
 
-    @in_both_ways
-    def test_no_request_is_handled_by_what_was_believed_before(self, stand_still):
+    @suspended_and_frozen
+    def test_requests_are_refused_while_the_configuration_is_too_old(self, pause):
         runs = self.runs(self.books)
-        stand_still(AWAY, self.lose_store)
+        pause(PAUSE_S, self.lose_store)
         self.assertEqual([self.call().status for _ in range(9)], [503] * 9)
         self.assertFalse(self.entry.is_ready())
         self.assertEqual(self.runs(self.books), runs)
-        self.regain_store()
+        self.restore_store()
         self.assertEqual(self.call().status, 200)
 
-    @in_both_ways
-    def test_a_request_that_comes_on_an_open_connection_as_it_wakes_is_refused(self, stand_still):
+    @suspended_and_frozen
+    def test_a_request_that_is_pending_at_the_resumption_is_refused(self, pause):
         replies = []
-        stand_still(AWAY, lambda: (self.lose_store(), self.call_in_background(replies)))
+        pause(PAUSE_S, lambda: (self.lose_store(), self.call_in_background(replies)))
         eventually(lambda: replies, "an answer")
         self.assertEqual(replies[0].status, 503)
-        self.regain_store()
+        self.restore_store()
 
     def call_in_background(self, replies, path="/lookup/x", **headers):
         caller = threading.Thread(target=lambda: replies.append(self.call(path, **headers)))
         caller.start()
         self.addCleanup(caller.join)
 
-    @in_both_ways
-    def test_a_key_that_was_taken_away_meanwhile_is_not_taken(self, stand_still):
+    @suspended_and_frozen
+    def test_a_key_that_was_removed_meanwhile_is_rejected(self, pause):
         version = 10 * self.attempts + 10
         changed = manifest(version + 1, tenants=[{"name": "club", "apiKeys": ["another-key"]}])
-        stand_still(AWAY, lambda: self.store.put("keyed.op", "config", changed))
+        pause(PAUSE_S, lambda: self.store.put("keyed.op", "config", changed))
         for _ in range(9):
             self.assertIn(self.call().status, (401, 503))
         self.store.put("keyed.op", "config", manifest(version + 2))
-        eventually(lambda: self.call().status == 200, "the key is back")
+        eventually(lambda: self.call().status == 200, "the key is valid again")
 
-    @in_both_ways
-    def test_an_upstream_that_left_meanwhile_gets_nothing(self, stand_still):
+    @suspended_and_frozen
+    def test_an_upstream_that_left_meanwhile_gets_no_requests(self, pause):
         for _ in range(9):
             self.call()
-        # The one that is preferred.
+        # The upstream that the daemon prefers.
         left = max(self.books, key=lambda book: len(book.runs()))
-        stand_still(AWAY, lambda: self.store.put("keyed.servers", left.instance, left.record(state="draining")))
+        pause(PAUSE_S, lambda: self.store.put("keyed.servers", left.instance, left.record(state="draining")))
         runs = len(left.runs())
         for _ in range(9):
             self.call()
@@ -168,13 +169,13 @@
         self.assertEqual(len(left.runs()), runs)
         lists = self.count("event=upstreams ")
         self.store.put("keyed.servers", left.instance, left.record())
-        eventually(lambda: self.count("event=upstreams ") > lists, "it is back")
+        eventually(lambda: self.count("event=upstreams ") > lists, "the upstream is back")
 
     def count(self, words):
         return sum(words in line for line in self.entry.lines)
 
-    @in_both_ways
-    def test_a_request_whose_time_was_over_gets_its_final_answer_and_is_not_sent_again(self, stand_still):
+    @suspended_and_frozen
+    def test_a_request_past_its_deadline_is_answered_and_not_retried(self, pause):
         for book in self.books:
             book.fault = "mute"
         replies = []
@@ -182,7 +183,7 @@
         self.call_in_background(replies, "/confirm/x")
         eventually(lambda: self.runs(self.books) == runs + 1, "it runs")
         runs = self.runs(self.books)
-        stand_still(AWAY)
+        pause(PAUSE_S)
         woke = time.monotonic()
         eventually(lambda: replies, "an answer")
         self.assertLess(time.monotonic() - woke, 1.0)
@@ -193,28 +194,28 @@
             book.released.set()
             book.released = threading.Event()
 
-    @in_both_ways
-    def test_a_ready_answer_and_a_running_stream_are_delivered(self, stand_still):
+    @suspended_and_frozen
+    def test_a_running_stream_is_delivered(self, pause):
         for chat in self.chats:
             chat.events, chat.event_pause = 40, 0.02
         replies = []
         runs = self.runs(self.chats)
         self.call_in_background(replies, "/stream/once/x", **{"X-Deadline-Ms": "10000"})
         eventually(lambda: self.runs(self.chats) == runs + 1, "it runs")
-        stand_still(1.0)
+        pause(1.0)
         eventually(lambda: replies, "an answer")
         self.assertEqual(replies[0].body.count("word"), 40)
 
-    @in_both_ways
-    def test_twice_in_a_row(self, stand_still):
+    @suspended_and_frozen
+    def test_two_pauses_in_succession(self, pause):
         runs = self.runs(self.books)
-        stand_still(1.5, self.lose_store)
-        stand_still(1.5)
+        pause(1.5, self.lose_store)
+        pause(1.5)
         self.assertEqual(self.call().status, 503)
         self.assertEqual(self.runs(self.books), runs)
-        self.regain_store()
+        self.restore_store()
 
-    def test_in_the_middle_of_a_planned_stop(self):
+    def test_suspension_during_a_planned_stop(self):
         for chat in self.chats:
             chat.events, chat.event_pause = 40, 0.02
         replies = []
@@ -224,10 +225,10 @@
         self.entry.suspend(1.0)
         eventually(lambda: replies, "an answer")
         self.assertEqual(replies[0].body.count("word"), 40)
-        # Four seconds are allowed, of which one was slept away.
+        # The limit is 4 s, of which 1 s was spent suspended.
         self.assertEqual(self.entry.process.wait(5), 0)
 
-    def test_an_operator_is_told_once_how_long_it_was(self):
+    def test_the_duration_of_a_suspension_is_logged_once(self):
         self.entry.suspend(1.5)
         line = eventually(lambda: next((line for line in self.entry.lines if "event=resumed" in line), None), "the line")
         suspended = int(line.split("suspended_ms=")[1].split()[0])
@@ -236,16 +237,16 @@
         self.assertEqual(sum("event=resumed" in line for line in self.entry.lines), 1)
         self.assertIn("stagepost_suspended_seconds_count 1", self.entry.get_ready("/metrics").body)
 
-    def test_some_daemons_at_once(self):
+    def test_several_daemons_are_suspended_together(self):
         others = [self.start(f"entry-{number}") for number in (2, 3)]
         fleet = [self.entry, *others]
         for entry in fleet:
             entry.process.send_signal(signal.SIGSTOP)
-        began = time.monotonic()
+        start_time = time.monotonic()
         self.store.put("keyed.op", "config", manifest(9, tenants=[{"name": "club", "apiKeys": ["another-key"]}]))
-        time.sleep(AWAY)
+        time.sleep(PAUSE_S)
         for entry in fleet:
-            entry.suspended_time.add(time.monotonic() - began)
+            entry.suspended_time.add(time.monotonic() - start_time)
             entry.process.send_signal(signal.SIGCONT)
         runs = self.runs(self.books)
         for _ in range(5):
