--- a/Services/stagepostd/OnceGateway.cpp
+++ b/Services/stagepostd/OnceGateway.cpp
@@ -54,7 +54,7 @@
     : m_dependencies(std::move(dependencies))
     , m_authenticator(std::string(key) + "/once", self, incarnation)
     , m_self(self)
-    , m_ticketBook(m_authenticator, self, incarnation, m_settings.ticketWindow, m_settings.memoryBytes / 4)
+    , m_ticketRegistry(m_authenticator, self, incarnation, m_settings.ticketWindow, m_settings.memoryBytes / 4)
     , m_claimGate(makeClaimGateOptions(m_settings), claimHooks())
 {
 }
@@ -91,14 +91,14 @@
 {
     m_settings = settings;
     m_claimGate.setOptions(makeClaimGateOptions(settings));
-    m_ticketBook.setBounds(settings.ticketWindow, settings.memoryBytes / 4);
+    m_ticketRegistry.setBounds(settings.ticketWindow, settings.memoryBytes / 4);
 }
 
 void OnceGateway::renderMetrics(Metrics& metrics) const
 {
     metrics.setGauge("stagepost_once_keys", static_cast<double>(m_claimGate.keys()));
-    metrics.setGauge("stagepost_once_tickets", static_cast<double>(m_ticketBook.trackedCount()));
-    metrics.setGauge("stagepost_once_bytes", static_cast<double>(m_claimGate.bytes() + m_ticketBook.bytes()));
+    metrics.setGauge("stagepost_once_tickets", static_cast<double>(m_ticketRegistry.trackedCount()));
+    metrics.setGauge("stagepost_once_bytes", static_cast<double>(m_claimGate.bytes() + m_ticketRegistry.bytes()));
     metrics.setGauge("stagepost_log_appends", static_cast<double>(m_claimGate.appends()));
 }
 
@@ -111,7 +111,7 @@
         if (code != std::errc() || end != countText.data() + countText.size() || count == 0 || count > maxTicketsPerRequest)
             return m_dependencies.refuse({ RefusalReason::BadRequest, Verdict::NotRun, "count is a number from 1 to 256", {} });
     }
-    auto const tickets = m_ticketBook.issue(organisation, count);
+    auto const tickets = m_ticketRegistry.issue(organisation, count);
     if (tickets.empty())
         return m_dependencies.refuse({ RefusalReason::OnceMemoryFull, Verdict::NotRun, "as many tickets are running as can be remembered", Milliseconds(1000) });
     return makeJsonResponse(200, nlohmann::json { { "tickets", tickets } }.dump() + '\n');
@@ -178,7 +178,7 @@
 void OnceGateway::serveTicket(std::shared_ptr<Exchange> const& exchange, CallerRequest const& request)
 {
     Refusal const issuerUnreachable { RefusalReason::TicketHolderGone, Verdict::MayHaveRun, "the daemon that handed the ticket out cannot be reached", {} };
-    auto const decision = m_ticketBook.redeem(request.ticket, request.organisation.id, requestFingerprint(exchange->request()));
+    auto const decision = m_ticketRegistry.redeem(request.ticket, request.organisation.id, requestFingerprint(exchange->request()));
     if (auto const* refusal = std::get_if<Refusal>(&decision)) {
         refuse(*exchange, *refusal);
     } else if (auto const* replayed = std::get_if<TicketRegistry::Replay>(&decision)) {
@@ -193,11 +193,11 @@
         auto const serial = std::get<TicketRegistry::MayRun>(decision).serial;
         m_dependencies.run(exchange, request, [this, serial](RequestHandler::Outcome const& outcome) {
             if (!outcome.refusal)
-                m_ticketBook.done(serial, toRecordedAnswer(outcome.result));
+                m_ticketRegistry.done(serial, toRecordedAnswer(outcome.result));
             else if (outcome.refusal->verdict == Verdict::NotRun)
-                m_ticketBook.notRun(serial);
+                m_ticketRegistry.notRun(serial);
             else
-                m_ticketBook.inDoubt(serial);
+                m_ticketRegistry.inDoubt(serial);
         });
     }
 }
--- a/Services/stagepostd/OnceGateway.h
+++ b/Services/stagepostd/OnceGateway.h
@@ -63,7 +63,7 @@
     Authenticator m_authenticator;
     VMId m_self;
     OnceSettings m_settings;
-    TicketRegistry m_ticketBook;
+    TicketRegistry m_ticketRegistry;
     ClaimGate m_claimGate;
     std::shared_ptr<bool> m_alive { std::make_shared<bool>(true) };
 };
