--- a/Services/stagepostd/CrashDetector.h
+++ b/Services/stagepostd/CrashDetector.h
@@ -35,7 +35,7 @@
 
     // Without suspects, fingerprints of requests need not be computed.
     bool hasSuspects() const { return !m_suspects.isEmpty(); }
-    bool isGuilty(RequestFingerprint request) const { return m_suspects.isPoison(request); }
+    bool isPoison(RequestFingerprint request) const { return m_suspects.isPoison(request); }
 
     void requestBroken(BrokenRequest const&);
     // The request was answered completely.
--- a/Services/stagepostd/Gateway.cpp
+++ b/Services/stagepostd/Gateway.cpp
@@ -69,18 +69,18 @@
 GatewayPeers::Hooks Gateway::peerHooks()
 {
     GatewayPeers::Hooks hooks;
-    hooks.beliefs.summary = [this] { return summary(); };
-    hooks.beliefs.provenAt = [this] { return provenAt(); };
-    hooks.beliefs.confirm = [this](Instant provenAt) { confirmState(provenAt); };
-    hooks.beliefs.upstreamChangesSince = [this](uint64_t hash) { return m_directory.changesSince(hash).value_or(std::vector<UpstreamChange> {}); };
-    hooks.beliefs.applyUpstreamChanges = [this](auto const& changes, Instant provenAt) { applyChanges("changes", changes, provenAt); };
-    hooks.beliefs.registryChangesSince = m_registry.since;
-    hooks.beliefs.applyRegistryChanges = m_registry.take;
-    hooks.beliefs.emptiedHalls = [this] { return m_emptiedHalls.state(); };
-    hooks.beliefs.applyEmptiedHalls = [this](auto const& told, std::optional<Instant> provenAt) { mergeEmptiedHalls(told, provenAt); };
-    hooks.beliefs.upstreamListForHash = [this](uint64_t hash) { return m_directory.listForHash(hash); };
-    hooks.beliefs.ownInFlight = [this] { return ownInFlight(); };
-    hooks.beliefs.setOthersInFlight = [this](auto const& others, Microseconds age) { setOthersInFlight(others, age); };
+    hooks.localState.summary = [this] { return summary(); };
+    hooks.localState.provenAt = [this] { return provenAt(); };
+    hooks.localState.confirm = [this](Instant provenAt) { confirmState(provenAt); };
+    hooks.localState.upstreamChangesSince = [this](uint64_t hash) { return m_directory.changesSince(hash).value_or(std::vector<UpstreamChange> {}); };
+    hooks.localState.applyUpstreamChanges = [this](auto const& changes, Instant provenAt) { applyChanges("changes", changes, provenAt); };
+    hooks.localState.registryChangesSince = m_registry.changesSince;
+    hooks.localState.applyRegistryChanges = m_registry.apply;
+    hooks.localState.emptiedHalls = [this] { return m_emptiedHalls.state(); };
+    hooks.localState.applyEmptiedHalls = [this](auto const& state, std::optional<Instant> provenAt) { mergeEmptiedHalls(state, provenAt); };
+    hooks.localState.upstreamListForHash = [this](uint64_t hash) { return m_directory.listForHash(hash); };
+    hooks.localState.ownInFlight = [this] { return ownInFlight(); };
+    hooks.localState.setOthersInFlight = [this](auto const& others, Microseconds age) { setOthersInFlight(others, age); };
     hooks.state = [this](StateSummary const& known) { return state(known); };
     hooks.needsStateFrom = [this](StateSummary const& other) { return needsStateFrom(other); };
     hooks.mergeState = [this](GatewayState const& state, std::optional<Instant> provenAt) { mergeState(state, provenAt); };
@@ -171,9 +171,9 @@
 bool Gateway::isSettingsOverdue() const
 {
     auto const isOver = [&](Instant since) { return m_loop.now() - since > m_options.peerSettingsTimeout; };
-    bool const isWanted = m_announcedVersion > settingsVersion() && !m_settingsLoader.isLoading(m_announcedVersion);
+    bool const isAnnouncedMissing = m_announcedVersion > settingsVersion() && !m_settingsLoader.isLoading(m_announcedVersion);
     bool const isStoreAhead = m_storeIsAheadSince && !m_settingsLoader.isBusy();
-    return (isWanted && isOver(m_announcedSince)) || (isStoreAhead && isOver(*m_storeIsAheadSince));
+    return (isAnnouncedMissing && isOver(m_announcedSince)) || (isStoreAhead && isOver(*m_storeIsAheadSince));
 }
 
 void Gateway::notifyNewerSettings()
@@ -227,14 +227,14 @@
     bool const isAsReceived = loaded.update && loaded.update->version == m_table->version();
     m_settingsHistory.add(m_table->version(), loaded.text, isAsReceived ? loaded.update : std::nullopt);
     m_server.setOptions(serverOptions(m_table->limits()));
-    applyColdBounds();
+    applyColdStartLimits();
     m_metrics.setGauge("stagepost_settings_version", static_cast<double>(m_table->version()));
     logEvent(LogLevel::Info, "settings-in-force", { { "version", m_table->version() }, { "routes", m_table->routeCount() }, { "source", loaded.update ? "told" : "store" }, { "took_ms", (m_loop.now() - loaded.startedAt).count() / 1000 }, { "longest_turn_us", loaded.longestSlice.count() } });
     m_peers.stateChanged(m_loop.now());
     return true;
 }
 
-void Gateway::applyColdBounds()
+void Gateway::applyColdStartLimits()
 {
     for (auto const& service : m_table->services())
         m_serviceTable.service(service.name).placement.setColdStartLimit({ service.coldPerSecond, m_options.coldOvershoot, m_options.coldSlack, service.coldDuration });
@@ -479,8 +479,8 @@
     m_metrics.setGauge("stagepost_suspect_requests", static_cast<double>(m_suspects.suspects().size()));
     m_metrics.setGauge("stagepost_control_bytes_sent", static_cast<double>(m_peers.bytesSent()));
     m_metrics.setGauge("stagepost_peer_unreadable_counts", static_cast<double>(m_peers.unreadableCounts()));
-    m_metrics.setGauge("stagepost_owner_asks_unanswered", static_cast<double>(m_peers.unansweredAsks()));
-    m_metrics.setGauge("stagepost_asks_kept_from_cold_upstreams", static_cast<double>(m_peers.exhaustedAsks()));
+    m_metrics.setGauge("stagepost_owner_asks_unanswered", static_cast<double>(m_peers.unansweredPermitRequests()));
+    m_metrics.setGauge("stagepost_asks_kept_from_cold_upstreams", static_cast<double>(m_peers.deniedColdRequests()));
     m_metrics.setGauge("stagepost_control_messages_sent", static_cast<double>(m_peers.messagesSent()));
     m_metrics.setGauge("stagepost_settings_age_seconds", m_tableAge.isKnown() ? asSeconds(settingsAge()) : -1);
     m_metrics.setGauge("stagepost_emptied_halls_age_seconds", m_emptiedHalls.age().isKnown() ? asSeconds(*m_emptiedHalls.age().age(m_loop.now())) : -1);
--- a/Services/stagepostd/Gateway.h
+++ b/Services/stagepostd/Gateway.h
@@ -97,7 +97,7 @@
     bool isSettingsOverdue() const;
     Microseconds settingsAge() const;
     bool applySettings(Result<RouteTable::Parts>&& parts, SettingsLoader::PendingSettings const&);
-    void applyColdBounds();
+    void applyColdStartLimits();
     void confirmSettings(Instant);
     uint64_t settingsVersion() const { return m_table ? m_table->version() : 0; }
     bool needsStateFrom(StateSummary const&);
--- a/Services/stagepostd/GatewayPeers.cpp
+++ b/Services/stagepostd/GatewayPeers.cpp
@@ -18,8 +18,8 @@
     constexpr Milliseconds tickInterval { 50 };
     constexpr unsigned statusForbidden = 403;
     // In a larger fleet, a relay needs its whole bandwidth budget for the state that it sends, so it
-    // leaves contexts out of its questions to owners and does not ask which upstreams hold them.
-    constexpr size_t maxPeersForRelayContextAsks = 128;
+    // leaves contexts out of its permit requests and does not ask which upstreams hold them.
+    constexpr size_t maxPeersForRelayContextQueries = 128;
 
     std::string formatStateRequest(StateSummary const& known)
     {
@@ -55,7 +55,7 @@
     , m_server(
           loop, {}, [this](std::shared_ptr<Exchange> const& exchange) { exchange->respond(answerState(exchange->request())); }, plainRefusal)
     , m_ticker(loop)
-    , m_answersTimer(loop)
+    , m_responseTimer(loop)
 {
 }
 
@@ -73,24 +73,24 @@
     m_channel = std::make_unique<PeerChannel>(m_loop, *m_datagramAuthenticator, m_metrics, [this](PeerMessageKind kind, VMId from, Endpoint const& source, std::string_view body) { handleMessage(kind, from, source, body); });
     TRY(m_channel->bind(m_endpoint));
     FleetPeer const peer { self.id(), HallId::fromName(self.hall) };
-    m_stateExchange = std::make_unique<StateExchange>(peer, m_random(), m_bounds, exchangeHooks());
+    m_stateExchange = std::make_unique<StateExchange>(peer, m_random(), m_bounds, stateHooks());
     m_crashExchange = std::make_unique<CrashExchange>(peer, m_suspects, CrashExchange::Bounds {}, crashHooks());
     // Kept when the daemon joins again with another key, since requests may wait for answers.
-    if (!m_ledgerExchange)
-        m_ledgerExchange = std::make_unique<PermitExchange>(peer, PermitExchange::Bounds {}, ledgerHooks());
+    if (!m_permitExchange)
+        m_permitExchange = std::make_unique<PermitExchange>(peer, PermitExchange::Bounds {}, permitHooks());
     if (!m_holderExchange)
         m_holderExchange = std::make_unique<HolderExchange>(peer, HolderExchange::Bounds {}, HolderExchange::Hooks { [this](VMId to, std::string const& body) { send(to, PeerMessageKind::Holders, body); } });
     m_ticker.every(tickInterval, [this] {
         m_stateExchange->tick(m_loop.now());
         m_crashExchange->tick(m_loop.now());
-        m_ledgerExchange->tick(m_loop.now());
+        m_permitExchange->tick(m_loop.now());
         m_holderExchange->tick(m_loop.now());
     });
     logEvent(LogLevel::Info, "joined", { { "name", self.name }, { "hall", self.hall }, { "peer_listen", m_endpoint.toString() }, { "incarnation", incarnation.value() } });
     return {};
 }
 
-StateExchange::Hooks GatewayPeers::exchangeHooks()
+StateExchange::Hooks GatewayPeers::stateHooks()
 {
     StateExchange::Hooks hooks;
     hooks.send = [this](VMId to, std::string const& body) { send(to, PeerMessageKind::State, body); };
@@ -98,7 +98,7 @@
         if (m_hooks.needsStateFrom(summary))
             fetch(from, provenAt);
     };
-    hooks.localState = m_hooks.beliefs;
+    hooks.localState = m_hooks.localState;
     return hooks;
 }
 
@@ -111,10 +111,10 @@
     return hooks;
 }
 
-PermitExchange::Hooks GatewayPeers::ledgerHooks()
+PermitExchange::Hooks GatewayPeers::permitHooks()
 {
     PermitExchange::Hooks hooks;
-    hooks.send = [this](VMId to, std::string const& body) { send(to, PeerMessageKind::Ledger, body); };
+    hooks.send = [this](VMId to, std::string const& body) { send(to, PeerMessageKind::Permits, body); };
     hooks.forecast = m_hooks.forecast;
     hooks.unanswered = [](VMId owner, UpstreamId upstream, Microseconds waited) {
         logEvent(LogLevel::Info, "owner-silent", { { "daemon", toHex(owner.value()) }, { "upstream_id", toHex(upstream.value()) }, { "waited_us", waited.count() } });
@@ -122,45 +122,45 @@
     return hooks;
 }
 
-void GatewayPeers::chooseByOwners(PermitExchange::CandidateList wish, PermitExchange::Callback callback)
+void GatewayPeers::requestPermit(PermitExchange::CandidateList candidates, PermitExchange::Callback callback)
 {
-    if (m_stateExchange->isRelay() && m_stateExchange->peerCount() > maxPeersForRelayContextAsks)
-        wish.context.reset();
-    m_ledgerExchange->choose(std::move(wish), std::move(callback), m_loop.now());
-    scheduleAnswerTimeout();
+    if (m_stateExchange->isRelay() && m_stateExchange->peerCount() > maxPeersForRelayContextQueries)
+        candidates.context.reset();
+    m_permitExchange->choose(std::move(candidates), std::move(callback), m_loop.now());
+    scheduleResponseTimeout();
 }
 
 void GatewayPeers::findContextHolders(uint64_t context, UpstreamId upstream, HolderExchange::Callback callback)
 {
     m_holderExchange->recordPlacement(context, upstream, std::move(callback), m_loop.now());
-    scheduleAnswerTimeout();
+    scheduleResponseTimeout();
 }
 
 // The interval of m_ticker is too long for the timeouts of waiting requests.
-void GatewayPeers::scheduleAnswerTimeout()
+void GatewayPeers::scheduleResponseTimeout()
 {
-    auto due = m_ledgerExchange->nextTimeout();
+    auto due = m_permitExchange->nextTimeout();
     if (auto const other = m_holderExchange->nextTimeout())
         due = std::min(due.value_or(*other), *other);
     if (!due)
         return;
-    m_answersTimer.once(std::max<Microseconds>(Microseconds(0), *due - m_loop.now()), [this] {
-        m_ledgerExchange->tick(m_loop.now());
+    m_responseTimer.once(std::max<Microseconds>(Microseconds(0), *due - m_loop.now()), [this] {
+        m_permitExchange->tick(m_loop.now());
         m_holderExchange->tick(m_loop.now());
-        scheduleAnswerTimeout();
+        scheduleResponseTimeout();
     });
 }
 
 void GatewayPeers::requestStarted(UpstreamId upstream, HallId hall)
 {
-    if (m_ledgerExchange)
-        m_ledgerExchange->requestStarted(upstream, hall, m_loop.now());
+    if (m_permitExchange)
+        m_permitExchange->requestStarted(upstream, hall, m_loop.now());
 }
 
 void GatewayPeers::requestEnded(UpstreamId upstream)
 {
-    if (m_ledgerExchange)
-        m_ledgerExchange->requestFinished(upstream, m_loop.now());
+    if (m_permitExchange)
+        m_permitExchange->requestFinished(upstream, m_loop.now());
 }
 
 void GatewayPeers::setPeers(std::vector<GatewayPeer> const& peers)
@@ -178,7 +178,7 @@
     m_stateExchange->setPeers(list);
     m_crashExchange->setPeers(list, m_loop.now());
     m_holderExchange->setPeers(list, m_stateExchange->relays());
-    m_ledgerExchange->setPeers(std::move(list), m_stateExchange->relays(), m_loop.now());
+    m_permitExchange->setPeers(std::move(list), m_stateExchange->relays(), m_loop.now());
     m_metrics.setGauge("stagepost_daemons", static_cast<double>(m_stateExchange->peerCount() + 1));
     logEvent(LogLevel::Info, "peers", { { "others", m_stateExchange->peerCount() }, { "relay", m_stateExchange->isRelay() ? 1 : 0 } });
 }
@@ -238,8 +238,8 @@
             return m_stateExchange && m_stateExchange->receive(from, body, m_loop.now());
         case PeerMessageKind::Crashes:
             return handleCrashMessage(from, body);
-        case PeerMessageKind::Ledger:
-            return m_ledgerExchange && m_ledgerExchange->receive(from, body, m_loop.now());
+        case PeerMessageKind::Permits:
+            return m_permitExchange && m_permitExchange->receive(from, body, m_loop.now());
         case PeerMessageKind::Holders:
             return m_holderExchange && m_holderExchange->receive(from, body, m_loop.now());
         default:
@@ -256,7 +256,7 @@
     if (m_isFetching || !endpoint)
         return;
     m_isFetching = true;
-    HttpRequest call { "GET", statePath, { { peerHeader, bytesToHex(m_stateAuthenticator->signMessage(formatStateRequest(m_hooks.beliefs.summary()))) } }, {} };
+    HttpRequest call { "GET", statePath, { { peerHeader, bytesToHex(m_stateAuthenticator->signMessage(formatStateRequest(m_hooks.localState.summary()))) } }, {} };
     m_client.fetch(*endpoint, std::move(call), fetchTimeout, [this, from, provenAt](Result<HttpResponse> const& reply) {
         m_isFetching = false;
         handleFetchedState(from, reply, provenAt);
--- a/Services/stagepostd/GatewayPeers.h
+++ b/Services/stagepostd/GatewayPeers.h
@@ -27,19 +27,19 @@
 // Access to the registry of gateways, which is shared with other gateways. Empty by default.
 struct GatewayRegistryHooks {
     std::function<uint64_t()> version { [] { return uint64_t { 0 }; } };
-    std::function<std::optional<std::vector<RegistryRecord>>(uint64_t version)> since { [](uint64_t) { return std::nullopt; } };
-    std::function<void(std::vector<RegistryRecord> const&, uint64_t version)> take { [](auto const&, uint64_t) {} };
+    std::function<std::optional<std::vector<RegistryRecord>>(uint64_t version)> changesSince { [](uint64_t) { return std::nullopt; } };
+    std::function<void(std::vector<RegistryRecord> const&, uint64_t version)> apply { [](auto const&, uint64_t) {} };
 };
 
 // Communicates with the other gateways of the fleet: datagrams carry confirmations of state, loads,
-// crash evidence and questions to owners; the full state is fetched over HTTP. All messages are
+// crash evidence and permit requests; the full state is fetched over HTTP. All messages are
 // authenticated with the fleet's key.
 class GatewayPeers {
 public:
     static constexpr char const* statePath = "/internal/state";
 
     struct Hooks {
-        StateExchange::LocalState beliefs;
+        StateExchange::LocalState localState;
         // The update that takes another daemon from the state that it has to this daemon's state.
         std::function<GatewayState(StateSummary const& known)> state;
         // Another daemon's state differs. Returns whether to fetch it; it may already be on its way.
@@ -76,16 +76,17 @@
     // Sends this daemon's crash evidence about the request to others.
     void shareCrashEvidence(RequestFingerprint, Instant now);
 
-    // Whether upstreams' owners can be asked.
-    bool canAskOwners() const { return m_ledgerExchange != nullptr; }
+    // Whether this daemon has joined, so that permits can be requested from upstreams' owners.
+    bool canRequestPermits() const { return m_permitExchange != nullptr; }
     // See PermitExchange::choose().
-    void chooseByOwners(PermitExchange::CandidateList, PermitExchange::Callback);
-    // See HolderExchange::placed().
+    void requestPermit(PermitExchange::CandidateList, PermitExchange::Callback);
+    // See HolderExchange::recordPlacement().
     void findContextHolders(uint64_t context, UpstreamId, HolderExchange::Callback);
     void requestStarted(UpstreamId, HallId);
     void requestEnded(UpstreamId);
-    size_t unansweredAsks() const { return m_ledgerExchange ? m_ledgerExchange->unansweredRequests() : 0; }
-    size_t exhaustedAsks() const { return m_ledgerExchange ? m_ledgerExchange->deniedColdRequests() : 0; }
+    size_t unansweredPermitRequests() const { return m_permitExchange ? m_permitExchange->unansweredRequests() : 0; }
+    // Permit requests that this daemon denied as owner because the quota of a cold upstream was used up.
+    size_t deniedColdRequests() const { return m_permitExchange ? m_permitExchange->deniedColdRequests() : 0; }
 
     // Bytes sent in datagrams since the start, without UDP and IP headers.
     uint64_t bytesSent() const { return m_channel ? m_channel->socket().bytesSent() : 0; }
@@ -93,10 +94,10 @@
     uint64_t messagesSent() const { return m_channel ? m_channel->socket().messagesSent() : 0; }
 
 private:
-    StateExchange::Hooks exchangeHooks();
+    StateExchange::Hooks stateHooks();
     CrashExchange::Hooks crashHooks();
-    PermitExchange::Hooks ledgerHooks();
-    void scheduleAnswerTimeout();
+    PermitExchange::Hooks permitHooks();
+    void scheduleResponseTimeout();
     bool handleCrashMessage(VMId from, std::string_view body);
     void handleMessage(PeerMessageKind, VMId from, Endpoint const& source, std::string_view body);
     Endpoint const* endpointOf(VMId) const;
@@ -123,11 +124,11 @@
     std::unique_ptr<PeerChannel> m_channel;
     std::unique_ptr<StateExchange> m_stateExchange;
     std::unique_ptr<CrashExchange> m_crashExchange;
-    std::unique_ptr<PermitExchange> m_ledgerExchange;
+    std::unique_ptr<PermitExchange> m_permitExchange;
     std::unique_ptr<HolderExchange> m_holderExchange;
     Timer m_ticker;
-    // Expires when the next answer of an owner, or of a context's home, is overdue.
-    Timer m_answersTimer;
+    // Expires at the earliest deadline of the pending permit requests and context lookups.
+    Timer m_responseTimer;
     bool m_isFetching { false };
 };
 
--- a/Services/stagepostd/GatewayRequestHandler.cpp
+++ b/Services/stagepostd/GatewayRequestHandler.cpp
@@ -18,17 +18,17 @@
     // left for requests in flight, which no daemon counts for the whole fleet.
     constexpr double idleConnectionsShare = 0.5;
 
-    AttemptLimits termsOf(RoutedRequest const& request)
+    AttemptLimits attemptLimitsOf(RoutedRequest const& request)
     {
         auto const& route = *request.route;
-        AttemptLimits terms;
-        terms.isRepeatable = route.isRepeatable();
-        terms.isStream = route.kind == RequestKind::Stream;
-        terms.maxSends = route.maxAttempts;
-        terms.objective = route.latencyObjective;
-        terms.gapObjective = route.gapObjective;
-        terms.deadline = request.receivedAt + std::min(route.timeout, request.call.timeLeft.value_or(route.timeout));
-        return terms;
+        AttemptLimits limits;
+        limits.isRepeatable = route.isRepeatable();
+        limits.isStream = route.kind == RequestKind::Stream;
+        limits.maxSends = route.maxAttempts;
+        limits.objective = route.latencyObjective;
+        limits.gapObjective = route.gapObjective;
+        limits.deadline = request.receivedAt + std::min(route.timeout, request.call.timeLeft.value_or(route.timeout));
+        return limits;
     }
 
     bool isCallerLost(ForwardResult const& result)
@@ -55,7 +55,7 @@
     , m_exchange(std::move(exchange))
     , m_request(std::move(request))
     , m_service(services.serviceTable.service(m_request.service))
-    , m_attempts(termsOf(m_request), m_service.retries)
+    , m_attempts(attemptLimitsOf(m_request), m_service.retries)
 {
     if (m_request.route->kind == RequestKind::Stream)
         m_progress = std::make_shared<EventProgress>();
@@ -76,26 +76,26 @@
 {
     if (!checkMaySend())
         return;
-    auto const wish = this->wish();
-    if (needsOwner(wish) && m_services.peers.canAskOwners())
-        askOwners(wish);
+    auto const placementRequest = makePlacementRequest();
+    if (needsPermit(placementRequest) && m_services.peers.canRequestPermits())
+        requestPermit(placementRequest);
     else
-        placeWithoutOwners(wish);
+        placeWithoutPermit(placementRequest);
 }
 
-bool GatewayRequestHandler::needsOwner(ServicePlacement::Request const& wish) const
+bool GatewayRequestHandler::needsPermit(ServicePlacement::Request const& placementRequest) const
 {
-    return wish.context || m_service.placement.hasCold(m_services.loop.now());
+    return placementRequest.context || m_service.placement.hasCold(m_services.loop.now());
 }
 
 // Requests on routes that keep contexts are always reported to the upstream's owner; other requests
-// are counted there only if an owner was asked.
-void GatewayRequestHandler::placeWithoutOwners(ServicePlacement::Request const& wish)
+// are counted there only if a permit was requested.
+void GatewayRequestHandler::placeWithoutPermit(ServicePlacement::Request const& placementRequest)
 {
     if (m_request.route->keepsContext)
-        placeByOwnCounts(wish);
+        placeByLocalCounts(placementRequest);
     else
-        send(m_service.placement.choose(wish, m_services.loop.now()));
+        send(m_service.placement.choose(placementRequest, m_services.loop.now()));
 }
 
 bool GatewayRequestHandler::checkMaySend()
@@ -114,47 +114,47 @@
     }
     // A caller's retry has a new id, so only the fingerprint shows that the same request has crashed
     // upstreams before. Without this check it would crash another one.
-    if (m_services.crashDetector.hasSuspects() && m_services.crashDetector.isGuilty(fingerprint())) {
+    if (m_services.crashDetector.hasSuspects() && m_services.crashDetector.isPoison(fingerprint())) {
         refuse({ RefusalReason::EndsUpstreams, Verdict::MayHaveRun, "upstreams have ended under this request: it goes to none any more", {} });
         return false;
     }
     return true;
 }
 
-ServicePlacement::Request GatewayRequestHandler::wish() const
+ServicePlacement::Request GatewayRequestHandler::makePlacementRequest() const
 {
-    ServicePlacement::Request wish;
+    ServicePlacement::Request placementRequest;
     if (m_request.route->keepsContext)
-        wish.context = m_request.call.prompt.sharedKey();
-    wish.excluded = m_attempts.failedUpstreams();
-    wish.isRepeatable = m_request.route->isRepeatable();
-    wish.priority = m_request.priority;
-    return wish;
+        placementRequest.context = m_request.call.prompt.sharedKey();
+    placementRequest.excluded = m_attempts.failedUpstreams();
+    placementRequest.isRepeatable = m_request.route->isRepeatable();
+    placementRequest.priority = m_request.priority;
+    return placementRequest;
 }
 
 // The counts that daemons exchange are older than the duration of many requests. If a whole fleet
 // placed requests by them, it would overload an upstream and then leave it empty.
-void GatewayRequestHandler::askOwners(ServicePlacement::Request const& wish)
+void GatewayRequestHandler::requestPermit(ServicePlacement::Request const& placementRequest)
 {
-    auto candidates = m_service.placement.candidatesForOwners(wish, m_services.loop.now());
+    auto candidates = m_service.placement.candidatesForOwners(placementRequest, m_services.loop.now());
     if (candidates.empty()) {
-        placeWithoutOwners(wish);
+        placeWithoutPermit(placementRequest);
         return;
     }
-    m_services.peers.chooseByOwners({ wish.context, std::move(candidates) }, [self = shared_from_this()](PermitExchange::Outcome const& outcome) {
-        self->handleOwnerReply(outcome);
+    m_services.peers.requestPermit({ placementRequest.context, std::move(candidates) }, [self = shared_from_this()](PermitExchange::Outcome const& outcome) {
+        self->handlePermitOutcome(outcome);
     });
 }
 
-void GatewayRequestHandler::handleOwnerReply(PermitExchange::Outcome const& outcome)
+void GatewayRequestHandler::handlePermitOutcome(PermitExchange::Outcome const& outcome)
 {
     m_countedUpstream = outcome.upstream;
     if (endedWhileWaiting())
         return;
-    auto wish = this->wish();
-    auto const choice = m_service.placement.choiceFromOwners(wish, outcome, m_services.loop.now());
-    if (choice && outcome.isContextNew && wish.context) {
-        findHolders(*wish.context, *choice);
+    auto placementRequest = makePlacementRequest();
+    auto const choice = m_service.placement.choiceFromOwners(placementRequest, outcome, m_services.loop.now());
+    if (choice && outcome.isContextNew && placementRequest.context) {
+        findHolders(*placementRequest.context, *choice);
         return;
     }
     if (choice) {
@@ -166,8 +166,8 @@
         refuse(loadBoundRefusal());
         return;
     }
-    wish.avoided = outcome.exhausted;
-    placeWithoutOwners(wish);
+    placementRequest.avoided = outcome.exhausted;
+    placeWithoutPermit(placementRequest);
 }
 
 // Asking which upstreams hold the context is faster than letting the upstream compute it again.
@@ -210,11 +210,11 @@
         m_services.peers.requestEnded(*std::exchange(m_countedUpstream, {}));
 }
 
-// Used if no owner can be reached or the chosen upstream has gone: places the request by the counts
+// Used if no owner can be reached or the chosen upstream was removed: places the request by the counts
 // that this daemon has.
-void GatewayRequestHandler::placeByOwnCounts(ServicePlacement::Request const& wish)
+void GatewayRequestHandler::placeByLocalCounts(ServicePlacement::Request const& placementRequest)
 {
-    auto const choice = m_service.placement.choose(wish, m_services.loop.now());
+    auto const choice = m_service.placement.choose(placementRequest, m_services.loop.now());
     auto const* target = choice ? m_services.serviceTable.target(choice->upstream) : nullptr;
     if (target) {
         m_services.peers.requestStarted(choice->upstream, target->hall);
@@ -272,7 +272,7 @@
 
 ForwardPlan GatewayRequestHandler::buildForwardPlan(ServicePlacement::Choice const& choice, ServiceTable::Target const& target, Instant now)
 {
-    auto const patience = m_attempts.timeouts(sizeForRetry(now), m_service.placement.waitBounds(m_request.call.prompt.tokens()), now);
+    auto const timeouts = m_attempts.timeouts(sizeForRetry(now), m_service.placement.waitBounds(m_request.call.prompt.tokens()), now);
     auto const* service = m_request.table->service(m_request.service);
     ForwardPlan plan;
     plan.upstream = target.endpoint;
@@ -280,9 +280,9 @@
     plan.requestIdField = m_services.dialect.idField;
     plan.requestId = m_request.call.id;
     plan.preserveHost = true;
-    plan.connectTimeout = patience.connect;
-    plan.responseHeaderTimeout = patience.firstByte;
-    plan.idleTimeout = patience.betweenParts;
+    plan.connectTimeout = timeouts.connect;
+    plan.responseHeaderTimeout = timeouts.firstByte;
+    plan.idleTimeout = timeouts.betweenParts;
     plan.requireNewConnection = m_attempts.needsFreshConnection(choice);
     plan.maxIdleConnections = std::min(plan.maxIdleConnections, idleConnectionLimit(service));
     plan.maxBufferedBytes = maxHeldAnswerBytes;
@@ -300,11 +300,11 @@
     auto plan = buildForwardPlan(choice, target, now);
     plan.responseFilter = [weak = weak_from_this(), upstream](unsigned status, HttpFields const& headers) -> std::optional<ResponseRejection> {
         auto const handler = weak.lock();
-        return handler ? handler->checkAnswerHead(upstream, status, headers) : std::nullopt;
+        return handler ? handler->checkResponseHeader(upstream, status, headers) : std::nullopt;
     };
-    plan.onUpstreamActivity = [weak = weak_from_this(), upstream](UpstreamActivity sign) {
+    plan.onUpstreamActivity = [weak = weak_from_this(), upstream](UpstreamActivity activity) {
         if (auto const handler = weak.lock())
-            handler->recordSign(upstream, sign);
+            handler->recordActivity(upstream, activity);
     };
     // Waits on if a retry is no longer possible, for example because its budget is used up.
     plan.shouldKeepWaiting = [weak = weak_from_this()] {
@@ -312,10 +312,10 @@
         return handler && !handler->couldSendAgain();
     };
     m_instance = target.instance;
-    m_placement = choice.reason;
-    m_restLeft = m_service.placement.remainingBackoff(upstream, now);
+    m_placementReason = choice.reason;
+    m_remainingBackoff = m_service.placement.remainingBackoff(upstream, now);
     m_sentAt = now;
-    m_lastSignAt = now;
+    m_lastActivityAt = now;
     m_service.placement.started(upstream);
     m_services.serviceTable.silence().sent(upstream, target.hall, now);
     m_exchange->forward(std::move(plan), [self = shared_from_this(), upstream](ForwardResult const& result) {
@@ -323,25 +323,25 @@
     });
 }
 
-void GatewayRequestHandler::recordSign(UpstreamId upstream, UpstreamActivity sign)
+void GatewayRequestHandler::recordActivity(UpstreamId upstream, UpstreamActivity activity)
 {
     auto const now = m_services.loop.now();
     auto& silence = m_services.serviceTable.silence();
-    switch (sign) {
+    switch (activity) {
     case UpstreamActivity::Connected:
         silence.connected(upstream, now);
         break;
     case UpstreamActivity::ResponseStarted:
-        silence.answerStarted(upstream, now - m_lastSignAt, now);
+        silence.answerStarted(upstream, now - m_lastActivityAt, now);
         break;
     case UpstreamActivity::ResponseDataReceived:
-        silence.answerContinued(upstream, now - m_lastSignAt, now);
+        silence.answerContinued(upstream, now - m_lastActivityAt, now);
         break;
     }
-    m_lastSignAt = now;
+    m_lastActivityAt = now;
 }
 
-std::optional<ResponseRejection> GatewayRequestHandler::checkAnswerHead(UpstreamId upstream, unsigned status, HttpFields const& headers)
+std::optional<ResponseRejection> GatewayRequestHandler::checkResponseHeader(UpstreamId upstream, unsigned status, HttpFields const& headers)
 {
     auto const now = m_services.loop.now();
     auto const head = m_services.dialect.readAnswerHead(status, headers);
@@ -350,7 +350,7 @@
     if (head.coldLeft)
         m_services.serviceTable.markCold(upstream, *head.coldLeft, now);
     if (head.restFor)
-        handleRestRequest(upstream, *head.restFor);
+        handleBackoffRequest(upstream, *head.restFor);
     if (head.isLeaving)
         m_services.serviceTable.markLeaving(upstream, now);
     if (head.isNotRun)
@@ -377,7 +377,7 @@
     return m_attempts.couldSendAgain(sizeForRetry(now), now);
 }
 
-void GatewayRequestHandler::handleRestRequest(UpstreamId upstream, Milliseconds duration)
+void GatewayRequestHandler::handleBackoffRequest(UpstreamId upstream, Milliseconds duration)
 {
     m_service.placement.backoffRequested(upstream, duration, m_services.loop.now());
     m_services.metrics.count("stagepost_upstream_rests_total", "service=\"" + m_request.service + '"');
@@ -486,7 +486,7 @@
         { { "id", m_request.call.id }, { "request", outcome == "answered" ? "" : toHex(fingerprint().value()) }, { "outcome", outcome }, { "reason", reason }, { "verdict", nameOf(verdict) },
             { "status", result.status }, { "route", m_request.route->name }, { "service", m_request.service },
             { "organisation", m_request.organisation }, { "context", toHex(m_request.call.prompt.sharedKey().value_or(0)) },
-            { "upstream", m_instance }, { "context_source", m_contextSource }, { "placed_by", nameOf(m_placement.rule) }, { "counts_age_ms", m_placement.countsAge.count() / 1000 }, { "hold_ms", m_placement.hold.count() / 1000 }, { "owners_asked", m_placement.asks }, { "owner_counted", m_placement.counted }, { "owner_limit", m_placement.limit }, { "rest_left_ms", m_restLeft.count() / 1000 }, { "sends", m_attempts.sends() },
+            { "upstream", m_instance }, { "context_source", m_contextSource }, { "placed_by", nameOf(m_placementReason.rule) }, { "counts_age_ms", m_placementReason.countsAge.count() / 1000 }, { "hold_ms", m_placementReason.hold.count() / 1000 }, { "owners_asked", m_placementReason.asks }, { "owner_counted", m_placementReason.counted }, { "owner_limit", m_placementReason.limit }, { "rest_left_ms", m_remainingBackoff.count() / 1000 }, { "sends", m_attempts.sends() },
             { "rejections", m_attempts.rejections() }, { "unconnected", m_attempts.connectFailures() }, { "reused_connection", result.reusedConnection ? 1 : 0 },
             { "events", m_progress ? m_progress->eventCount : 0 }, { "bytes", result.responseBytes },
             { "settings", m_request.table->version() }, { "settings_age_ms", m_services.settingsAge().count() / 1000 },
--- a/Services/stagepostd/GatewayRequestHandler.h
+++ b/Services/stagepostd/GatewayRequestHandler.h
@@ -59,10 +59,10 @@
     void placeRequest();
     // Whether the request may be sent now. If not, it is refused.
     bool checkMaySend();
-    ServicePlacement::Request wish() const;
-    bool needsOwner(ServicePlacement::Request const&) const;
-    void askOwners(ServicePlacement::Request const&);
-    void handleOwnerReply(PermitExchange::Outcome const&);
+    ServicePlacement::Request makePlacementRequest() const;
+    bool needsPermit(ServicePlacement::Request const&) const;
+    void requestPermit(ServicePlacement::Request const&);
+    void handlePermitOutcome(PermitExchange::Outcome const&);
     void findHolders(uint64_t context, ServicePlacement::Choice const&);
     void sendWithContextSource(ServicePlacement::Choice, std::vector<UpstreamId> const& holders);
     // Whether the caller has left, or the request may no longer be sent, since an answer of another
@@ -70,8 +70,8 @@
     bool endedWhileWaiting();
     // Stops counting the request as in flight: it has ended, or was not sent.
     void releaseInFlight();
-    void placeWithoutOwners(ServicePlacement::Request const&);
-    void placeByOwnCounts(ServicePlacement::Request const&);
+    void placeWithoutPermit(ServicePlacement::Request const&);
+    void placeByLocalCounts(ServicePlacement::Request const&);
     Refusal noUpstreamRefusal() const;
     Refusal loadBoundRefusal() const;
     void send(std::optional<ServicePlacement::Choice> const&);
@@ -79,10 +79,10 @@
     GatewaySend buildSend(ServicePlacement::Choice const&, ServiceTable::Target const&, Service const*, Instant now);
     ForwardPlan buildForwardPlan(ServicePlacement::Choice const&, ServiceTable::Target const&, Instant now);
     void forward(ServicePlacement::Choice const&, ServiceTable::Target const&);
-    void recordSign(UpstreamId, UpstreamActivity);
-    std::optional<ResponseRejection> checkAnswerHead(UpstreamId, unsigned status, HttpFields const&);
-    // The upstream asks to get no requests for this long.
-    void handleRestRequest(UpstreamId, Milliseconds);
+    void recordActivity(UpstreamId, UpstreamActivity);
+    std::optional<ResponseRejection> checkResponseHeader(UpstreamId, unsigned status, HttpFields const&);
+    // The upstream has asked for a pause of this length in new requests.
+    void handleBackoffRequest(UpstreamId, Milliseconds);
     size_t sizeForRetry(Instant now) const;
     bool couldSendAgain() const;
     void handleForwardResult(UpstreamId, ForwardResult const&);
@@ -104,15 +104,15 @@
     std::string m_instance;
     // Instance from which the upstream may copy the context; empty if there is none.
     std::string m_contextSource;
-    PlacementReason m_placement;
-    // How much longer, when the request was sent, the upstream wanted no requests.
-    Microseconds m_restLeft { 0 };
+    PlacementReason m_placementReason;
+    // The remaining backoff that the upstream had asked for when the request was sent.
+    Microseconds m_remainingBackoff { 0 };
     // The upstream at which owners count the request as in flight.
     std::optional<UpstreamId> m_countedUpstream;
     // When the request was last sent.
     Instant m_sentAt;
-    // When the upstream last gave a sign of life, or the request was last sent, whichever is later.
-    Instant m_lastSignAt;
+    // When the upstream last showed activity, or the request was last sent, whichever is later.
+    Instant m_lastActivityAt;
     std::optional<Refusal> m_lastFailure;
     // Computed when first needed, since few requests fail.
     mutable std::optional<RequestFingerprint> m_fingerprint;
--- a/Services/stagepostd/PeerChannel.h
+++ b/Services/stagepostd/PeerChannel.h
@@ -14,7 +14,7 @@
     Routing = 'r',
     State = 's',
     Crashes = 'c',
-    Ledger = 'l',
+    Permits = 'l',
     Holders = 'h',
 };
 
