--- a/Services/stagepostd/GatewayPeers.cpp
+++ b/Services/stagepostd/GatewayPeers.cpp
@@ -273,10 +273,10 @@
         return refuse(reply.error().message());
     if (reply->status != 200)
         return refuse("status " + std::to_string(reply->status));
-    auto const opened = m_stateAuthenticator->verifyMessage(reply->body);
-    if (!opened || opened->sender != from)
+    auto const verified = m_stateAuthenticator->verifyMessage(reply->body);
+    if (!verified || verified->sender != from)
         return refuse("the state is not authenticated by that daemon");
-    auto const state = GatewayState::decode(opened->body);
+    auto const state = GatewayState::decode(verified->body);
     if (!state)
         return refuse(state.error().message());
     m_metrics.count("stagepost_peer_states_total", "outcome=\"taken\"");
@@ -287,10 +287,10 @@
 {
     if (!m_stateAuthenticator || call.path() != statePath)
         return makeTextResponse(statusForbidden, "for daemons of this fleet only\n");
-    auto const opened = m_stateAuthenticator->verifyMessage(hexToBytes(call.headers.find(peerHeader)));
-    if (!opened || !opened->body.starts_with(stateRequestPrefix))
+    auto const verified = m_stateAuthenticator->verifyMessage(hexToBytes(call.headers.find(peerHeader)));
+    if (!verified || !verified->body.starts_with(stateRequestPrefix))
         return makeTextResponse(statusForbidden, "for daemons of this fleet only\n");
-    auto const known = parseStateRequest(std::string_view(opened->body).substr(stateRequestPrefix.size()));
+    auto const known = parseStateRequest(std::string_view(verified->body).substr(stateRequestPrefix.size()));
     return { 200, { { "Content-Type", "application/octet-stream" } }, m_stateAuthenticator->signMessage(m_hooks.state(known).encode()) };
 }
 
--- a/Services/stagepostd/PeerChannel.cpp
+++ b/Services/stagepostd/PeerChannel.cpp
@@ -30,19 +30,19 @@
     m_socket.send(to, m_authenticator.signMessage(message));
 }
 
-void PeerChannel::handleDatagram(Endpoint const& source, std::string_view sealed)
+void PeerChannel::handleDatagram(Endpoint const& source, std::string_view datagram)
 {
-    auto const opened = m_authenticator.verifyMessage(sealed);
-    if (!opened) {
-        m_metrics.count("stagepost_peer_dropped_total", dropLabel(opened.error().code));
+    auto const verified = m_authenticator.verifyMessage(datagram);
+    if (!verified) {
+        m_metrics.count("stagepost_peer_dropped_total", dropLabel(verified.error().code));
         return;
     }
-    if (opened->body.empty()) {
+    if (verified->body.empty()) {
         m_metrics.count("stagepost_peer_dropped_total", dropLabel(make_error_code(ErrorCode::Malformed)));
         return;
     }
-    auto const kind = static_cast<PeerMessageKind>(opened->body.front());
-    m_receiver(kind, opened->sender, source, std::string_view(opened->body).substr(1));
+    auto const kind = static_cast<PeerMessageKind>(verified->body.front());
+    m_receiver(kind, verified->sender, source, std::string_view(verified->body).substr(1));
 }
 
 }
--- a/Services/stagepostd/PeerChannel.h
+++ b/Services/stagepostd/PeerChannel.h
@@ -32,7 +32,7 @@
     DatagramSocket const& socket() const { return m_socket; }
 
 private:
-    void handleDatagram(Endpoint const& source, std::string_view sealed);
+    void handleDatagram(Endpoint const& source, std::string_view datagram);
 
     Authenticator& m_authenticator;
     Metrics& m_metrics;
--- a/Services/stagepostd/PeerSettings.cpp
+++ b/Services/stagepostd/PeerSettings.cpp
@@ -68,19 +68,19 @@
     m_isFetching = false;
     if (!reply || reply->status != 200)
         return;
-    auto const opened = m_authenticator.verifyMessage(reply->body);
-    if (!opened) {
-        logEvent(LogLevel::Warning, "peer-settings-refused", { { "detail", opened.error().message() } });
+    auto const verified = m_authenticator.verifyMessage(reply->body);
+    if (!verified) {
+        logEvent(LogLevel::Warning, "peer-settings-refused", { { "detail", verified.error().message() } });
         return;
     }
-    if (auto const settings = decode(opened->body))
+    if (auto const settings = decode(verified->body))
         m_settings.adopt(*settings);
 }
 
 HttpResponse PeerSettings::handleRequest(HttpRequest const& call)
 {
-    auto const opened = m_authenticator.verifyMessage(hexToBytes(call.headers.find(peerHeader)));
-    if (!opened || opened->body != requestText)
+    auto const verified = m_authenticator.verifyMessage(hexToBytes(call.headers.find(peerHeader)));
+    if (!verified || verified->body != requestText)
         return makeTextResponse(statusForbidden, "for daemons of this fleet only\n");
     if (!m_settings.settings())
         return makeTextResponse(statusNotFound, "no settings yet\n");
