--- a/Services/stagepostd/Gateway.cpp
+++ b/Services/stagepostd/Gateway.cpp
@@ -118,10 +118,10 @@
         { { "hall", order.hall }, { "position", m_emptiedHalls.state().position }, { "age_ms", m_emptiedHalls.age().age(m_loop.now()).value_or(Microseconds(0)).count() / 1000 } });
 }
 
-void Gateway::updateHallOrders(std::vector<HallOrder> const& orders, bool isWhole, Instant readSentAt, uint64_t position, bool isAfterReturn)
+void Gateway::updateHallOrders(std::vector<HallOrder> const& orders, bool isWhole, Instant readSentAt, uint64_t position, bool isAfterRestore)
 {
     auto const before = m_emptiedHalls.state().halls;
-    if (isAfterReturn)
+    if (isAfterRestore)
         m_emptiedHalls.replaceAfterRestore(orders, position, readSentAt);
     else if (isWhole)
         m_emptiedHalls.replace(orders, position, readSentAt);
@@ -242,7 +242,7 @@
 
 // A delayed answer of the store may be older than what other daemons have confirmed meanwhile, and
 // must not replace it.
-bool Gateway::updateUpstreams(std::vector<UpstreamChange> const& changes, bool isWhole, Instant readSentAt, bool isAfterReturn)
+bool Gateway::updateUpstreams(std::vector<UpstreamChange> const& changes, bool isWhole, Instant readSentAt, bool isAfterRestore)
 {
     auto const known = m_directory.age().confirmedAt();
     if (known && *known > readSentAt) {
@@ -250,7 +250,7 @@
         return false;
     }
     if (isWhole)
-        replaceUpstreams("store", recordsOf(changes), readSentAt, isAfterReturn);
+        replaceUpstreams("store", recordsOf(changes), readSentAt, isAfterRestore);
     else
         applyChanges("store", changes, readSentAt);
     updateReadiness();
@@ -267,12 +267,12 @@
             { "age_ms", m_directory.age().age(m_loop.now()).value_or(Microseconds(0)).count() / 1000 } });
 }
 
-void Gateway::replaceUpstreams(std::string_view source, std::vector<UpstreamRecord> const& all, Instant provenAt, bool isAfterReturn)
+void Gateway::replaceUpstreams(std::string_view source, std::vector<UpstreamRecord> const& all, Instant provenAt, bool isAfterRestore)
 {
     auto const hashBefore = m_directory.hash();
     auto const now = m_loop.now();
     m_directory.confirm(provenAt);
-    if (isAfterReturn)
+    if (isAfterRestore)
         m_directory.replaceAfterRestore(all, provenAt, now);
     else
         m_directory.replace(all, now);
--- a/Services/stagepostd/Gateway.h
+++ b/Services/stagepostd/Gateway.h
@@ -33,15 +33,15 @@
     void updateSettings(std::optional<std::string> text, Instant readSentAt, uint64_t position = 0);
 
     // Handles the orders to empty halls that a read of the store returned, which are all orders or
-    // those since the last read, and the position up to which they are known. After the return of a
-    // store that has lost its last seconds, missing orders may be written again.
-    void updateHallOrders(std::vector<HallOrder> const&, bool isWhole, Instant readSentAt, uint64_t position, bool isAfterReturn);
+    // those since the last read, and the position up to which they are known. After a restore of
+    // the store, which loses its last seconds, missing orders may be written again.
+    void updateHallOrders(std::vector<HallOrder> const&, bool isWhole, Instant readSentAt, uint64_t position, bool isAfterRestore);
 
     // Handles the changes since the last read, or the list of all upstreams. Returns false if the
     // read is older than what other daemons have confirmed meanwhile: it is ignored, and the whole
-    // list has to be read again. After the return of a store that has lost its last seconds, missing
+    // list has to be read again. After a restore of the store, which loses its last seconds, missing
     // records may be written again.
-    bool updateUpstreams(std::vector<UpstreamChange> const&, bool isWhole, Instant readSentAt, bool isAfterReturn = false);
+    bool updateUpstreams(std::vector<UpstreamChange> const&, bool isWhole, Instant readSentAt, bool isAfterRestore = false);
 
     // Whether this daemon has to read the store now: it does so for others, or its state is stale.
     bool needsStore() const { return m_peers.needsStore(m_loop.now()); }
@@ -106,7 +106,7 @@
     void confirmState(Instant);
     void logUpstreamsIfChanged(std::string_view source, uint64_t hashBefore);
     // The source is only logged.
-    void replaceUpstreams(std::string_view source, std::vector<UpstreamRecord> const& all, Instant provenAt, bool isAfterReturn = false);
+    void replaceUpstreams(std::string_view source, std::vector<UpstreamRecord> const& all, Instant provenAt, bool isAfterRestore = false);
     void applyChanges(std::string_view source, std::vector<UpstreamChange> const&, Instant provenAt);
     GatewayState state(StateSummary const& known) const;
     void mergeState(GatewayState const&, std::optional<Instant> provenAt);
--- a/Services/stagepostd/GatewayDialect.h
+++ b/Services/stagepostd/GatewayDialect.h
@@ -38,16 +38,16 @@
 };
 
 // What the gateway reads from the status and the header fields of an upstream's answer.
-struct GatewayAnswerHead {
-    // The upstream says that it has not run the request.
+struct UpstreamResponseInfo {
+    // The upstream reports that it has not run the request.
     bool isNotRun { false };
     // The answer carries the upstream's signature. Callers do not accept answers without it.
     bool isSigned { false };
     std::optional<UpstreamLoadReport> load;
-    // How much longer the upstream stays cold, if it says so.
+    // How much longer the upstream stays cold, if it reports that.
     std::optional<Milliseconds> coldLeft {};
-    // The upstream rejects requests and asks this daemon to send none for this long.
-    std::optional<Milliseconds> restFor {};
+    // The upstream rejects requests and asks for a backoff of this length.
+    std::optional<Milliseconds> backoff {};
     // The upstream finishes its open requests and then leaves.
     bool isLeaving { false };
 };
@@ -61,7 +61,7 @@
     std::string idField;
     std::function<GatewayCall(HttpRequest const&)> readCall;
     std::function<HttpRequest(HttpRequest const&, GatewaySend const&)> writeCall;
-    std::function<GatewayAnswerHead(unsigned status, HttpFields const&)> readAnswerHead;
+    std::function<UpstreamResponseInfo(unsigned status, HttpFields const&)> readResponseHeader;
 };
 
 }
--- a/Services/stagepostd/GatewayRequestHandler.cpp
+++ b/Services/stagepostd/GatewayRequestHandler.cpp
@@ -344,18 +344,18 @@
 std::optional<ResponseRejection> GatewayRequestHandler::checkResponseHeader(UpstreamId upstream, unsigned status, HttpFields const& headers)
 {
     auto const now = m_services.loop.now();
-    auto const head = m_services.dialect.readAnswerHead(status, headers);
-    if (head.load)
-        m_service.placement.reported(upstream, *head.load, now);
-    if (head.coldLeft)
-        m_services.serviceTable.markCold(upstream, *head.coldLeft, now);
-    if (head.restFor)
-        handleBackoffRequest(upstream, *head.restFor);
-    if (head.isLeaving)
+    auto const response = m_services.dialect.readResponseHeader(status, headers);
+    if (response.load)
+        m_service.placement.reported(upstream, *response.load, now);
+    if (response.coldLeft)
+        m_services.serviceTable.markCold(upstream, *response.coldLeft, now);
+    if (response.backoff)
+        handleBackoffRequest(upstream, *response.backoff);
+    if (response.isLeaving)
         m_services.serviceTable.markLeaving(upstream, now);
-    if (head.isNotRun)
+    if (response.isNotRun)
         return ResponseRejection { RefusalReason::OverCapacity, Verdict::NotRun, "the upstream has not run the request" };
-    if (status >= 200 && status < 300 && !head.isSigned)
+    if (status >= 200 && status < 300 && !response.isSigned)
         return ResponseRejection { RefusalReason::UpstreamMixedAnswer, Verdict::MayHaveRun, "a success without the upstream's signature" };
     if (promisesNotRun(status) && !m_request.route->isRepeatable())
         return ResponseRejection { RefusalReason::UpstreamBroken, Verdict::MayHaveRun, "the upstream's status promises what it does not say" };
--- a/Services/stagepostd/GatewayRequestHandler.h
+++ b/Services/stagepostd/GatewayRequestHandler.h
@@ -81,7 +81,7 @@
     void forward(ServicePlacement::Choice const&, ServiceTable::Target const&);
     void recordActivity(UpstreamId, UpstreamActivity);
     std::optional<ResponseRejection> checkResponseHeader(UpstreamId, unsigned status, HttpFields const&);
-    // The upstream has asked for a pause of this length in new requests.
+    // The upstream has asked for a backoff of this length.
     void handleBackoffRequest(UpstreamId, Milliseconds);
     size_t sizeForRetry(Instant now) const;
     bool couldSendAgain() const;
