--- a/Tests/platform/TestPlatformReaders.cpp
+++ b/Tests/platform/TestPlatformReaders.cpp
@@ -266,20 +266,20 @@
 BOOST_AUTO_TEST_CASE(AnswerHeadsAreParsed)
 {
     auto const dialect = platformDialect();
-    BOOST_TEST(dialect.readAnswerHead(503, { { "X-Not-Executed", "1" } }).isNotRun);
-    BOOST_TEST(dialect.readAnswerHead(421, {}).isNotRun);
-    BOOST_TEST(!dialect.readAnswerHead(503, {}).isNotRun);
-    BOOST_TEST(dialect.readAnswerHead(503, { { "Retry-After", "2.5" } }).restFor.value_or(Milliseconds(0)).count() == 2500);
+    BOOST_TEST(dialect.readResponseHeader(503, { { "X-Not-Executed", "1" } }).isNotRun);
+    BOOST_TEST(dialect.readResponseHeader(421, {}).isNotRun);
+    BOOST_TEST(!dialect.readResponseHeader(503, {}).isNotRun);
+    BOOST_TEST(dialect.readResponseHeader(503, { { "Retry-After", "2.5" } }).backoff.value_or(Milliseconds(0)).count() == 2500);
     for (auto const* text : { "", "0", "-1", "soon", "nan", "inf", "Wed, 21 Oct 2026 07:28:00 GMT" })
-        BOOST_TEST(dialect.readAnswerHead(503, { { "Retry-After", text } }).restFor.value_or(Milliseconds(0)).count() <= 86400000);
-    BOOST_TEST(!dialect.readAnswerHead(503, { { "Retry-After", "soon" } }).restFor.has_value());
-    BOOST_TEST(dialect.readAnswerHead(200, { { "Server-Leaving", "1" } }).isLeaving);
-    BOOST_TEST(!dialect.readAnswerHead(200, {}).isLeaving);
-    BOOST_TEST(!dialect.readAnswerHead(429, { { "Retry-After", "2" } }).restFor.has_value());
-    auto const head = dialect.readAnswerHead(200, { { "X-Response-Signature", "s" }, { "X-Server-Load", "3,1,8" } });
+        BOOST_TEST(dialect.readResponseHeader(503, { { "Retry-After", text } }).backoff.value_or(Milliseconds(0)).count() <= 86400000);
+    BOOST_TEST(!dialect.readResponseHeader(503, { { "Retry-After", "soon" } }).backoff.has_value());
+    BOOST_TEST(dialect.readResponseHeader(200, { { "Server-Leaving", "1" } }).isLeaving);
+    BOOST_TEST(!dialect.readResponseHeader(200, {}).isLeaving);
+    BOOST_TEST(!dialect.readResponseHeader(429, { { "Retry-After", "2" } }).backoff.has_value());
+    auto const head = dialect.readResponseHeader(200, { { "X-Response-Signature", "s" }, { "X-Server-Load", "3,1,8" } });
     BOOST_TEST(head.isSigned);
     BOOST_TEST((head.load->running == 3u && head.load->waiting == 1u && head.load->slots == 8u));
-    BOOST_TEST(!dialect.readAnswerHead(200, { { "X-Server-Load", "3,1" } }).load.has_value());
+    BOOST_TEST(!dialect.readResponseHeader(200, { { "X-Server-Load", "3,1" } }).load.has_value());
 }
 
 BOOST_AUTO_TEST_CASE(OnlyRequestsThatDidNotRunGetStatus503)
@@ -383,7 +383,7 @@
         (void)GatewayState::decode(bytes);
         (void)readPromptParts(bytes);
         (void)dialect.readCall({ "GET", bytes, { { "X-Prompt-Prefix", bytes }, { "X-Deadline-Ms", bytes }, { "Last-Event-Id", bytes } }, bytes });
-        (void)dialect.readAnswerHead(200, { { "X-Server-Load", bytes } });
+        (void)dialect.readResponseHeader(200, { { "X-Server-Load", bytes } });
         RC_SUCCEED();
     }));
 }
