--- a/Services/stagepostd/Gateway.cpp
+++ b/Services/stagepostd/Gateway.cpp
@@ -55,7 +55,7 @@
     , m_peers(loop, m_metrics, m_options.exchange, m_suspects, m_random, peerHooks())
     , m_portProbe(loop)
     , m_crashDetector(loop, m_metrics, m_suspects, crashDetectorHooks())
-    , m_services { loop, m_metrics, m_serviceTable, m_crashDetector, m_peers, m_dialect, [this] { return areKeysFresh(); }, [this] { return needsRevalidation(); }, [this] { return settingsAge(); }, [this] { return m_peers.share(); }, [this](FingerprintInput const& traits) { return m_fingerprintKey.fingerprintOf(traits); } }
+    , m_services { loop, m_metrics, m_serviceTable, m_crashDetector, m_peers, m_dialect, [this] { return areKeysFresh(); }, [this] { return needsRevalidation(); }, [this] { return settingsAge(); }, [this] { return m_peers.share(); }, [this](FingerprintInput const& input) { return m_fingerprintKey.fingerprintOf(input); } }
     , m_server(
           loop, {}, [this](std::shared_ptr<Exchange> const& exchange) { handle(exchange); }, [this](Refusal const& refusal) { return refuse(refusal); })
     , m_readyServer(
--- a/Services/stagepostd/SettingsLoader.cpp
+++ b/Services/stagepostd/SettingsLoader.cpp
@@ -45,7 +45,7 @@
 {
     m_current = std::move(pending);
     m_current->startedAt = m_loop.now();
-    m_steps = m_hooks.parse(m_current->text);
+    m_parser = m_hooks.parse(m_current->text);
     continueLoading();
 }
 
@@ -54,7 +54,7 @@
     auto const begin = m_loop.now();
     std::optional<Result<RouteTable::Parts>> parts;
     for (size_t count = 0; count < maxStepsPerSlice && !parts && m_loop.now() - begin < maxSliceDuration; ++count)
-        parts = m_steps();
+        parts = m_parser();
     auto const took = m_loop.now() - begin;
     m_current->longestSlice = std::max(m_current->longestSlice, took);
     m_hooks.sliceFinished(took);
@@ -73,7 +73,7 @@
 {
     auto const pending = std::move(*m_current);
     m_current.reset();
-    m_steps = {};
+    m_parser = {};
     bool const isApplied = m_hooks.parsed(std::move(parts), pending);
     if (m_next)
         m_timer.once(Milliseconds(0), [this] { startLoading(*std::exchange(m_next, {})); });
--- a/Services/stagepostd/SettingsLoader.h
+++ b/Services/stagepostd/SettingsLoader.h
@@ -54,7 +54,7 @@
     Hooks m_hooks;
     Timer m_timer;
     std::optional<PendingSettings> m_current;
-    IncrementalSettingsParser m_steps;
+    IncrementalSettingsParser m_parser;
     std::optional<PendingSettings> m_next;
 };
 
