--- a/Services/stagepostd/PeerChannel.h
+++ b/Services/stagepostd/PeerChannel.h
@@ -14,7 +14,7 @@
     Routing = 'r',
     State = 's',
     Crashes = 'c',
-    Ledger = 'l',
+    Permits = 'l',
     Holders = 'h',
 };
 
@@ -32,7 +32,7 @@
     DatagramSocket const& socket() const { return m_socket; }
 
 private:
-    void handleDatagram(Endpoint const& source, std::string_view sealed);
+    void handleDatagram(Endpoint const& source, std::string_view datagram);
 
     Authenticator& m_authenticator;
     Metrics& m_metrics;
