--- a/Meta/Measure/MembershipMeasurement.cpp
+++ b/Meta/Measure/MembershipMeasurement.cpp
@@ -128,12 +128,12 @@
 
         void tick()
         {
-            auto const before = threadSeconds();
+            auto const before = threadCpuSeconds();
             for (auto& member : m_members) {
                 if (member.isAlive)
                     member.membership->tick(m_events.now());
             }
-            m_processor += threadSeconds() - before;
+            m_processor += threadCpuSeconds() - before;
             m_events.after(Membership::tickInterval, [this] { tick(); });
         }
 
@@ -145,9 +145,9 @@
                 auto& receiver = m_members[to.value() - 1];
                 if (!receiver.isAlive)
                     return;
-                auto const before = threadSeconds();
+                auto const before = threadCpuSeconds();
                 (void)receiver.membership->receive(m_members[from].id, bytes, m_events.now());
-                m_processor += threadSeconds() - before;
+                m_processor += threadCpuSeconds() - before;
             });
         }
 
--- a/Meta/Measure/Placement/OwnersPolicy.cpp
+++ b/Meta/Measure/Placement/OwnersPolicy.cpp
@@ -25,9 +25,9 @@
             if (m_isTimed)
                 return function();
             m_isTimed = true;
-            auto const before = threadSeconds();
+            auto const before = threadCpuSeconds();
             auto result = function();
-            m_processor += threadSeconds() - before;
+            m_processor += threadCpuSeconds() - before;
             m_isTimed = false;
             return result;
         }
@@ -127,7 +127,7 @@
 
         uint64_t controlBytes() const override { return m_bytes; }
         uint64_t controlMessages() const override { return m_messages; }
-        double processorSeconds() const override { return m_processor; }
+        double decisionCpuSeconds() const override { return m_processor; }
 
     private:
         UpstreamOwner* ownerAt(size_t daemon, size_t engine)
--- a/Meta/Measure/Placement/Policy.h
+++ b/Meta/Measure/Placement/Policy.h
@@ -45,7 +45,7 @@
     virtual uint64_t controlBytes() const { return 0; }
     virtual uint64_t controlMessages() const { return 0; }
     // Processor time in decisions, over all daemons.
-    virtual double processorSeconds() const { return 0; }
+    virtual double decisionCpuSeconds() const { return 0; }
 
 protected:
     World& m_world;
--- a/Meta/Measure/Placement/Run.cpp
+++ b/Meta/Measure/Placement/Run.cpp
@@ -39,7 +39,7 @@
             m_result.reuse = m_wantedTokens > 0 ? m_reusedTokens / m_wantedTokens : 1;
             m_result.controlBytesPerSecond = static_cast<double>(m_policy->controlBytes()) / daemonSeconds;
             m_result.controlMessagesPerSecond = static_cast<double>(m_policy->controlMessages()) / daemonSeconds;
-            m_result.processorPerDecision = m_result.decisions ? m_policy->processorSeconds() / static_cast<double>(m_result.decisions) : 0;
+            m_result.processorPerDecision = m_result.decisions ? m_policy->decisionCpuSeconds() / static_cast<double>(m_result.decisions) : 0;
             return m_result;
         }
 
--- a/Meta/Measure/Placement/StatelessPolicies.cpp
+++ b/Meta/Measure/Placement/StatelessPolicies.cpp
@@ -24,7 +24,7 @@
 
         void place(TracedRequest const& request, std::vector<size_t> const& excluded, Placed placed) override
         {
-            auto const before = threadSeconds();
+            auto const before = threadCpuSeconds();
             auto const& view = m_views[request.entry];
             std::vector<size_t> order;
             for (auto const id : view.candidates(World::pool(), ChatId(request.chat), m_options.candidates + excluded.size())) {
@@ -35,7 +35,7 @@
             std::optional<size_t> chosen;
             if (!order.empty())
                 chosen = choose(request.entry, order);
-            m_processor += threadSeconds() - before;
+            m_processor += threadCpuSeconds() - before;
             if (!chosen) {
                 placed({ {}, 0, "no-upstream" });
                 return;
@@ -46,7 +46,7 @@
 
         void finished(size_t daemon, PlacedRequest const& placed, bool) override { noteEnd(daemon, *placed.engine); }
         void viewChanged(size_t daemon) override { m_views[daemon] = m_world.viewOf(daemon); }
-        double processorSeconds() const override { return m_processor; }
+        double decisionCpuSeconds() const override { return m_processor; }
 
     protected:
         virtual size_t choose(size_t daemon, std::vector<size_t> const& order) = 0;
--- a/Meta/Measure/ProcessUsage.cpp
+++ b/Meta/Measure/ProcessUsage.cpp
@@ -16,8 +16,8 @@
 
 }
 
-// schedstat counts in nanoseconds, where stat counts in hundredths of a second.
-double processorSeconds(pid_t pid)
+// Reads schedstat, which counts in nanoseconds; stat counts in clock ticks of 10 ms.
+double processCpuSeconds(pid_t pid)
 {
     uint64_t nanoseconds = 0;
     std::ifstream(procFile(pid, "schedstat")) >> nanoseconds;
@@ -32,7 +32,7 @@
     return resident * static_cast<uint64_t>(sysconf(_SC_PAGESIZE));
 }
 
-double threadSeconds()
+double threadCpuSeconds()
 {
     timespec time {};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
--- a/Meta/Measure/ProcessUsage.h
+++ b/Meta/Measure/ProcessUsage.h
@@ -5,10 +5,10 @@
 
 namespace Stagepost::Measure {
 
-// What the kernel says that a process has used.
-double processorSeconds(pid_t);
+// CPU time and resident memory of a process, from /proc.
+double processCpuSeconds(pid_t);
 uint64_t residentBytes(pid_t);
-// The processor time of the calling thread.
-double threadSeconds();
+// CPU time of the calling thread.
+double threadCpuSeconds();
 
 }
--- a/Meta/Measure/ProxyMeasurement.cpp
+++ b/Meta/Measure/ProxyMeasurement.cpp
@@ -111,11 +111,11 @@
             std::vector<Net::awaitable<void>> all;
             for (size_t index = 0; index < clients; ++index)
                 all.push_back(loop(model, index, tokens, seconds, calls, parts));
-            auto const before = processorSeconds(m_pid);
+            auto const before = processCpuSeconds(m_pid);
             auto const start = std::chrono::steady_clock::now();
             runAll(all);
             auto const took = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
-            auto const used = processorSeconds(m_pid) - before;
+            auto const used = processCpuSeconds(m_pid) - before;
             return { static_cast<double>(calls) / took, static_cast<double>(parts) / took, used / took, used };
         }
 
--- a/Meta/Measure/SettingsMeasurement.cpp
+++ b/Meta/Measure/SettingsMeasurement.cpp
@@ -78,9 +78,9 @@
     {
         std::vector<double> samples;
         for (size_t run = 0; run < runs; ++run) {
-            auto const begin = threadSeconds();
+            auto const begin = threadCpuSeconds();
             work();
-            samples.push_back(1000 * (threadSeconds() - begin));
+            samples.push_back(1000 * (threadCpuSeconds() - begin));
         }
         return quantile(samples, 0.5);
     }
