--- a/Meta/Measure/Capacity.h
+++ b/Meta/Measure/Capacity.h
@@ -7,13 +7,13 @@
 
 namespace Stagepost::Measure {
 
-// Measured lines of key=value pairs, looked up by what they are of.
-class Figures {
+// Results of earlier measurements, read from a file with one line of key=value pairs per result.
+class MeasuredResults {
 public:
     // Error: NotFound.
-    static Result<Figures> read(std::string const& path);
+    static Result<MeasuredResults> read(std::string const& path);
 
-    // The value of a key in the first line that has all the given pairs, for
+    // Returns the value of a key from the first line that has this key and all the given pairs, for
     // example {"scenario=steady", "policy=owners"}. Error: NotFound.
     Result<double> value(std::vector<std::string> const& pairs, std::string const& key) const;
 
@@ -21,7 +21,7 @@
     std::vector<std::map<std::string, std::string>> m_lines;
 };
 
-// One figure of the page, in the form in which the page carries it.
+// A figure of docs/CAPACITY.md. text() formats it as the page contains it.
 struct CapacityRow {
     std::string key;
     double value { 0 };
@@ -29,7 +29,7 @@
     std::string text() const;
 };
 
-// The arithmetic of docs/CAPACITY.md. Error: NotFound for a figure that was not measured.
-Result<std::vector<CapacityRow>> capacityRows(Figures const&);
+// Computes the figures of docs/CAPACITY.md. Error: NotFound if a result that they depend on is missing.
+Result<std::vector<CapacityRow>> capacityRows(MeasuredResults const&);
 
 }
--- a/Meta/Measure/CapacityMeasurement.cpp
+++ b/Meta/Measure/CapacityMeasurement.cpp
@@ -8,17 +8,17 @@
 
 namespace Stagepost::Measure {
 
-// Works the totals at the aim's size out of measured lines, and prints them. With
-// --check PAGE it fails when the page does not carry each of them.
+// Computes the figures of the capacity page from measured results and prints them. With --check PAGE,
+// fails if the page lacks one of them.
 int measureCapacity(Arguments const& arguments)
 {
     auto const path = arguments.text("figures", "docs/figures/measured.txt");
-    auto const figures = Figures::read(path);
-    if (!figures) {
-        std::cerr << "measure capacity: " << figures.error().detail << '\n';
+    auto const results = MeasuredResults::read(path);
+    if (!results) {
+        std::cerr << "measure capacity: " << results.error().detail << '\n';
         return 1;
     }
-    auto const rows = capacityRows(*figures);
+    auto const rows = capacityRows(*results);
     if (!rows) {
         std::cerr << "measure capacity: " << rows.error().detail << '\n';
         return 1;
@@ -34,7 +34,7 @@
         auto const text = row.text();
         std::cout << text << '\n';
         if (!pagePath.empty() && page.find(text) == std::string::npos) {
-            std::cerr << pagePath << " does not carry: " << text << '\n';
+            std::cerr << pagePath << " does not contain: " << text << '\n';
             ++missing;
         }
     }
