--- a/Meta/Measure/Arguments.cpp
+++ b/Meta/Measure/Arguments.cpp
@@ -7,12 +7,12 @@
 Arguments::Arguments(int argc, char const* const* argv)
 {
     for (int index = 2; index < argc; ++index) {
-        std::string word = argv[index];
-        if (!word.starts_with("--"))
+        std::string argument = argv[index];
+        if (!argument.starts_with("--"))
             continue;
-        word = word.substr(2);
+        argument = argument.substr(2);
         bool const hasValue = index + 1 < argc && std::string(argv[index + 1]).rfind("--", 0) != 0;
-        m_values[word] = hasValue ? argv[++index] : "";
+        m_values[argument] = hasValue ? argv[++index] : "";
     }
 }
 
--- a/Meta/Measure/Arguments.h
+++ b/Meta/Measure/Arguments.h
@@ -6,7 +6,7 @@
 
 namespace Stagepost::Measure {
 
-// The words after the measurement's name: "--key value" pairs, and "--quick".
+// Command-line options after the name of the measurement: "--key value" pairs and the flag "--quick".
 class Arguments {
 public:
     Arguments(int argc, char const* const* argv);
--- a/Meta/Measure/Measurements.h
+++ b/Meta/Measure/Measurements.h
@@ -4,8 +4,7 @@
 
 namespace Stagepost::Measure {
 
-// Each prints key=value lines and returns the exit code: 0 when every call that
-// it made was answered as it should be.
+// Each prints lines of key=value pairs and returns the exit code, 0 if no call or check failed.
 int measureProxy(Arguments const&);
 int measurePlacement(Arguments const&);
 int measureOnce(Arguments const&);
--- a/Meta/Measure/Statistics.h
+++ b/Meta/Measure/Statistics.h
@@ -5,15 +5,15 @@
 
 namespace Stagepost::Measure {
 
-// The value below which the given share of the samples lies; 0 without samples.
+// Returns the quantile of the samples for a share from 0 to 1, or 0 if there are no samples.
 double quantile(std::vector<double> samples, double share);
 
-// One line of key=value pairs.
+// Builds a line of key=value pairs, separated by spaces.
 class ResultLine {
 public:
     ResultLine& add(std::string const& key, std::string const& value);
     ResultLine& add(std::string const& key, char const* value) { return add(key, std::string(value)); }
-    // With three digits after the point at the most.
+    // Writes whole numbers without decimals and all others with three.
     ResultLine& add(std::string const& key, double value);
     std::string const& text() const { return m_line; }
     void print() const;
