--- a/Meta/Measure/InForceMeasurement.cpp
+++ b/Meta/Measure/InForceMeasurement.cpp
@@ -16,12 +16,12 @@
 namespace {
 
     constexpr Milliseconds callTimeout { 1000 };
-    constexpr double patience = 10;
+    constexpr double timeoutSeconds = 10;
 
-    // Publishes to real daemons and watches the revision that each serves from.
-    class InForce {
+    // Publishes settings to running daemons and measures the time until each daemon serves with them.
+    class SettingsPropagationMeasurement {
     public:
-        explicit InForce(Arguments const& arguments)
+        explicit SettingsPropagationMeasurement(Arguments const& arguments)
             : m_client(m_loop)
             , m_log(Endpoint::parse(arguments.text("log", "")).value(), makeFetchHook(m_client))
         {
@@ -34,19 +34,19 @@
 
         int run(size_t changes)
         {
-            std::vector<double> typical;
-            std::vector<double> worst;
+            std::vector<double> logReaderTimes;
+            std::vector<double> slowestTimes;
             for (size_t change = 0; change < changes; ++change) {
-                auto const times = publishOne();
-                // The last daemon of the list is the one that is cut from the log.
-                typical.insert(typical.end(), times.begin(), times.end() - 1);
-                worst.push_back(*std::max_element(times.begin(), times.end()));
+                auto const times = publishAndMeasure();
+                // The last daemon of the list has no access to the log and gets the settings from its peers.
+                logReaderTimes.insert(logReaderTimes.end(), times.begin(), times.end() - 1);
+                slowestTimes.push_back(*std::max_element(times.begin(), times.end()));
             }
             ResultLine line;
             line.add("members", static_cast<double>(m_daemons.size())).add("changes", static_cast<double>(changes));
-            line.add("in_force_p50_s", quantile(typical, 0.5)).add("in_force_log_worst_s", quantile(typical, 1)).add("in_force_worst_s", quantile(worst, 1));
+            line.add("in_force_p50_s", quantile(logReaderTimes, 0.5)).add("in_force_log_worst_s", quantile(logReaderTimes, 1)).add("in_force_worst_s", quantile(slowestTimes, 1));
             line.print();
-            return quantile(worst, 1) < patience ? 0 : 1;
+            return quantile(slowestTimes, 1) < timeoutSeconds ? 0 : 1;
         }
 
     private:
@@ -64,30 +64,30 @@
             return revision;
         }
 
-        // The seconds from the append to the change in force, for each daemon.
-        std::vector<double> publishOne()
+        // Returns for each daemon the seconds from the append until the new settings are in force.
+        std::vector<double> publishAndMeasure()
         {
-            auto const base = revisionOf(m_daemons.front());
+            auto const previousRevision = revisionOf(m_daemons.front());
             Publication publication;
-            publication.revision = Revision(static_cast<uint64_t>(base));
-            publication.nonce = std::to_string(base);
+            publication.revision = Revision(static_cast<uint64_t>(previousRevision));
+            publication.nonce = std::to_string(previousRevision);
             publication.author = "measure";
             publication.toml = m_toml;
             auto const start = std::chrono::steady_clock::now();
             m_log.append(settingsStream, publication.toRecord(), [&](Result<Offset> const&) { m_loop.stop(); });
             m_loop.run();
             std::vector<double> times(m_daemons.size(), 0);
-            bool isMissing = true;
-            while (isMissing) {
-                isMissing = false;
-                auto const since = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
+            bool isPending = true;
+            while (isPending) {
+                isPending = false;
+                auto const elapsed = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
                 for (size_t index = 0; index < m_daemons.size(); ++index) {
                     if (times[index] > 0)
                         continue;
-                    if (revisionOf(m_daemons[index]) > base || since > patience)
+                    if (revisionOf(m_daemons[index]) > previousRevision || elapsed > timeoutSeconds)
                         times[index] = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
                     else
-                        isMissing = true;
+                        isPending = true;
                 }
             }
             return times;
@@ -105,10 +105,10 @@
 int measureInForce(Arguments const& arguments)
 {
     if (arguments.text("daemons", "").empty()) {
-        std::cerr << "measure in-force is started by Meta/stagepost.sh measure membership\n";
+        std::cerr << "measure in-force: no --daemons given; run Meta/stagepost.sh measure membership instead\n";
         return 2;
     }
-    return InForce(arguments).run(arguments.isQuick() ? 5 : 20);
+    return SettingsPropagationMeasurement(arguments).run(arguments.isQuick() ? 5 : 20);
 }
 
 }
