--- a/Meta/Measure/OnceMeasurement.cpp
+++ b/Meta/Measure/OnceMeasurement.cpp
@@ -14,7 +14,8 @@
 
     constexpr size_t ticketBatch = 200;
 
-    // Repeatable, ticketed and claimed calls in turn, through the daemon.
+    // Measures the latency through the daemon of calls with neither ticket nor idempotency key, with a
+    // ticket and with a key, in turn.
     class OnceLatency {
     public:
         explicit OnceLatency(Arguments const& arguments)
@@ -27,10 +28,10 @@
         {
             Net::co_spawn(m_context, loop(), Net::detached);
             m_context.run();
-            auto const plain = quantile(m_plain, 0.5);
-            line.add("repeatable_p50_us", plain);
-            line.add("ticket_added_p50_us", quantile(m_ticketed, 0.5) - plain).add("ticket_added_p99_us", quantile(m_ticketed, 0.99) - quantile(m_plain, 0.99));
-            line.add("claim_added_p50_us", quantile(m_claimed, 0.5) - plain).add("claim_added_p99_us", quantile(m_claimed, 0.99) - quantile(m_plain, 0.99));
+            auto const unprotected = quantile(m_unprotected, 0.5);
+            line.add("repeatable_p50_us", unprotected);
+            line.add("ticket_added_p50_us", quantile(m_ticketed, 0.5) - unprotected).add("ticket_added_p99_us", quantile(m_ticketed, 0.99) - quantile(m_unprotected, 0.99));
+            line.add("claim_added_p50_us", quantile(m_claimed, 0.5) - unprotected).add("claim_added_p99_us", quantile(m_claimed, 0.99) - quantile(m_unprotected, 0.99));
             return m_failures;
         }
 
@@ -43,7 +44,7 @@
             std::string const ticketPath = "/v1/tickets?count=" + std::to_string(ticketBatch);
             std::string const ticketField = "Stagepost-Ticket";
             std::string const keyField = "Idempotency-Key";
-            auto const second = std::chrono::duration_cast<Seconds>(std::chrono::system_clock::now().time_since_epoch()).count();
+            auto const nowSeconds = std::chrono::duration_cast<Seconds>(std::chrono::system_clock::now().time_since_epoch()).count();
             for (size_t call = 0; call < m_calls; ++call) {
                 if (tickets.empty()) {
                     auto const body = co_await m_client.fetch(ticketPath);
@@ -51,12 +52,12 @@
                 }
                 std::string const ticket = tickets.back();
                 tickets.pop_back();
-                std::string const key = std::to_string(second) + "-measure-" + std::to_string(call);
-                auto const plain = co_await m_client.post(path, "X-None", "none");
+                std::string const key = std::to_string(nowSeconds) + "-measure-" + std::to_string(call);
+                auto const unprotected = co_await m_client.post(path, "X-None", "none");
                 auto const ticketed = co_await m_client.post(path, ticketField, ticket);
                 auto const claimed = co_await m_client.post(path, keyField, key);
-                m_failures += !plain.isOk + !ticketed.isOk + !claimed.isOk;
-                m_plain.push_back(plain.totalSeconds * 1e6);
+                m_failures += !unprotected.isOk + !ticketed.isOk + !claimed.isOk;
+                m_unprotected.push_back(unprotected.totalSeconds * 1e6);
                 m_ticketed.push_back(ticketed.totalSeconds * 1e6);
                 m_claimed.push_back(claimed.totalSeconds * 1e6);
             }
@@ -66,15 +67,16 @@
         LoadClient m_client;
         size_t m_calls;
         size_t m_failures { 0 };
-        std::vector<double> m_plain;
+        std::vector<double> m_unprotected;
         std::vector<double> m_ticketed;
         std::vector<double> m_claimed;
     };
 
-    // Appends a second that the fleet makes for so many claims a second, by the real
-    // gate on a simulated log that answers in two milliseconds.
-    double appendsFor(double claimsPerSecond, double seconds)
+    // Returns the log appends per second that a ClaimGate makes at the given rate of claims. The log
+    // is simulated.
+    double appendsPerSecond(double claimsPerSecond, double seconds)
     {
+        constexpr Microseconds logLatency { 2000 };
         EventQueue events;
         std::map<std::string, std::vector<std::string>> streams;
         uint64_t random = 1;
@@ -82,13 +84,13 @@
             [&](std::string const& stream, std::string record, std::function<void(Result<Offset>)> const& callback) {
                 streams[stream].push_back(std::move(record));
                 auto const offset = Offset(streams[stream].size() - 1);
-                events.after(Microseconds(2000), [callback, offset] { callback(offset); });
+                events.after(logLatency, [callback, offset] { callback(offset); });
             },
             [&](std::string const& stream, Offset from, std::function<void(Result<ClaimGate::ReadResult>)> const& callback) {
                 ClaimGate::ReadResult result { Offset(0), Offset(streams[stream].size()), {} };
                 for (auto offset = from.value(); offset < streams[stream].size(); ++offset)
                     result.records.emplace_back(Offset(offset), streams[stream][offset]);
-                events.after(Microseconds(2000), [callback, result] { callback(result); });
+                events.after(logLatency, [callback, result] { callback(result); });
             },
             [&] { return random = mixHashes(random, 1); },
             [] { return int64_t { 1000 }; },
@@ -129,13 +131,13 @@
         return static_cast<double>(mallinfo2().uordblks - before) / keys;
     }
 
-    Tests::OnceSimulation::Counts faultedCalls(uint64_t atLeast, bool isGuarded)
+    Tests::OnceSimulation::Counts faultedCalls(uint64_t atLeast, bool enforcesAtMostOnce)
     {
         Tests::OnceSimulation::Counts sum;
         for (uint64_t seed = 1; sum.faulted < atLeast; ++seed) {
             Tests::OnceSimulation::Options options;
             options.seed = seed;
-            options.enforcesAtMostOnce = isGuarded;
+            options.enforcesAtMostOnce = enforcesAtMostOnce;
             auto const counts = Tests::OnceSimulation(options).run(1000);
             sum.calls += counts.calls;
             sum.faulted += counts.faulted;
@@ -156,20 +158,20 @@
         failures = OnceLatency(arguments).run(line);
     constexpr double fleetDaemons = 330;
     constexpr double seconds = 20;
-    line.add("appends_per_s_1", appendsFor(1, seconds)).add("appends_per_s_10", appendsFor(10, seconds)).add("appends_per_s_100", appendsFor(100, seconds));
-    // All daemons' claims meet in the same streams.
-    line.add("appends_per_s", appendsFor(fleetDaemons, seconds)).add("appends_per_s_330_at_10", appendsFor(fleetDaemons * 10, seconds / 2));
+    line.add("appends_per_s_1", appendsPerSecond(1, seconds)).add("appends_per_s_10", appendsPerSecond(10, seconds)).add("appends_per_s_100", appendsPerSecond(100, seconds));
+    // One claim per second from each daemon of the fleet; all daemons share the same log streams.
+    line.add("appends_per_s", appendsPerSecond(fleetDaemons, seconds)).add("appends_per_s_330_at_10", appendsPerSecond(fleetDaemons * 10, seconds / 2));
     line.add("bytes_per_key", bytesPerKey());
-    auto const wanted = arguments.isQuick() ? 10000 : 100000;
-    auto const guarded = faultedCalls(wanted, true);
-    auto const unguarded = faultedCalls(arguments.isQuick() ? 1000 : 10000, false);
-    line.add("calls", static_cast<double>(guarded.calls)).add("faulted_calls", static_cast<double>(guarded.faulted));
-    line.add("duplicates", static_cast<double>(guarded.duplicates)).add("wrong_verdicts", static_cast<double>(guarded.wrongVerdicts));
-    line.add("unguarded_duplicates", static_cast<double>(unguarded.duplicates)).add("unguarded_wrong_verdicts", static_cast<double>(unguarded.wrongVerdicts));
+    auto const minFaultedCalls = arguments.isQuick() ? 10000 : 100000;
+    auto const enforced = faultedCalls(minFaultedCalls, true);
+    auto const unenforced = faultedCalls(arguments.isQuick() ? 1000 : 10000, false);
+    line.add("calls", static_cast<double>(enforced.calls)).add("faulted_calls", static_cast<double>(enforced.faulted));
+    line.add("duplicates", static_cast<double>(enforced.duplicates)).add("wrong_verdicts", static_cast<double>(enforced.wrongVerdicts));
+    line.add("unguarded_duplicates", static_cast<double>(unenforced.duplicates)).add("unguarded_wrong_verdicts", static_cast<double>(unenforced.wrongVerdicts));
     line.add("failed_calls", static_cast<double>(failures));
     line.print();
-    bool const isProved = !guarded.duplicates && !guarded.wrongVerdicts && unguarded.duplicates && unguarded.wrongVerdicts && !failures;
-    return isProved ? 0 : 1;
+    bool const isSuccessful = !enforced.duplicates && !enforced.wrongVerdicts && unenforced.duplicates && unenforced.wrongVerdicts && !failures;
+    return isSuccessful ? 0 : 1;
 }
 
 }
