--- a/Meta/Measure/LoadClient.cpp
+++ b/Meta/Measure/LoadClient.cpp
@@ -78,19 +78,19 @@
         co_return timing;
     Http::response_parser<Http::buffer_body> parser;
     parser.body_limit(boost::none);
-    auto [headFailure, headSize] = co_await Http::async_read_header(m_stream, m_buffer, parser, useTuple);
+    auto [headerFailure, headerSize] = co_await Http::async_read_header(m_stream, m_buffer, parser, useTuple);
     timing.firstByteSeconds = secondsSince(start);
-    std::array<char, 16384> part;
-    while (!headFailure && !parser.is_done()) {
-        parser.get().body().data = part.data();
-        parser.get().body().size = part.size();
+    std::array<char, 16384> chunk;
+    while (!headerFailure && !parser.is_done()) {
+        parser.get().body().data = chunk.data();
+        parser.get().body().size = chunk.size();
         auto [failure, size] = co_await Http::async_read_some(m_stream, m_buffer, parser, useTuple);
         if (failure && failure != Http::error::need_buffer)
             co_return timing;
-        timing.parts += parser.get().body().size < part.size();
+        timing.chunks += parser.get().body().size < chunk.size();
     }
     timing.totalSeconds = secondsSince(start);
-    timing.isOk = !headFailure && parser.get().result_int() == 200;
+    timing.isOk = !headerFailure && parser.get().result_int() == 200;
     co_return timing;
 }
 
--- a/Meta/Measure/LoadClient.h
+++ b/Meta/Measure/LoadClient.h
@@ -6,15 +6,15 @@
 
 namespace Stagepost::Measure {
 
-// What one call of the load client saw.
+// Timing and result of one call.
 struct CallTiming {
     double firstByteSeconds { 0 };
     double totalSeconds { 0 };
-    size_t parts { 0 };
+    size_t chunks { 0 };
     bool isOk { false };
 };
 
-// One connection over which calls are made one after another.
+// An HTTP client that makes its calls one after another on a single connection.
 class LoadClient {
 public:
     LoadClient(Net::io_context& context, Endpoint server, std::string token)
@@ -25,14 +25,14 @@
     }
 
     Net::awaitable<bool> connect();
-    // Streams a chat completion to its end.
+    // Requests a streamed chat completion and reads it to its end.
     Net::awaitable<CallTiming> chat(std::string model, std::string chat, size_t tokens);
     Net::awaitable<CallTiming> get(std::string target);
-    // A call with a body; the field says how it is kept from running twice.
+    // Sends a POST request with a body and one extra header field, such as a ticket or an idempotency key.
     Net::awaitable<CallTiming> post(std::string target, std::string field, std::string value);
-    // The body of a small answer to a POST.
+    // Sends a POST request and returns the body of the response, or an empty string on failure.
     Net::awaitable<std::string> fetch(std::string target);
-    // Sends a chat and reads only its header, so that the stream stays open.
+    // Requests a streamed chat completion and reads only the response header, so that the stream stays open.
     Net::awaitable<bool> open(std::string model, std::string chat, size_t tokens);
 
 private:
--- a/Meta/Measure/ProxyMeasurement.cpp
+++ b/Meta/Measure/ProxyMeasurement.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-    // The daemon runs as a process of its own, which the script starts, so that its
-    // processor time and memory are its own.
+    // Measures latency, throughput and memory of the daemon. Meta/stagepost.sh starts the daemon as a
+    // separate process, so that its CPU time and memory do not include the load client's.
     class ProxyMeasurement {
     public:
         explicit ProxyMeasurement(Arguments const& arguments)
@@ -46,9 +46,9 @@
             m_context.restart();
         }
 
-        // Calls the engine directly and through the daemon in turn, so that whatever
-        // else the machine does falls on both alike.
-        Net::awaitable<void> compare(size_t calls, std::vector<double>& direct, std::vector<double>& through)
+        // Alternates calls to the engine directly and through the daemon, so that other load on the
+        // machine affects both equally.
+        Net::awaitable<void> compare(size_t calls, std::vector<double>& direct, std::vector<double>& proxied)
         {
             LoadClient toEngine(m_context, m_engine, m_token);
             LoadClient toDaemon(m_context, m_daemon, m_token);
@@ -62,23 +62,23 @@
                 if (index < calls / 10)
                     continue;
                 direct.push_back(first.totalSeconds * 1e6);
-                through.push_back(second.totalSeconds * 1e6);
+                proxied.push_back(second.totalSeconds * 1e6);
             }
         }
 
         void measureLatency()
         {
             std::vector<double> direct;
-            std::vector<double> through;
+            std::vector<double> proxied;
             std::vector<Net::awaitable<void>> all;
-            all.push_back(compare(m_isQuick ? 2000 : 20000, direct, through));
+            all.push_back(compare(m_isQuick ? 2000 : 20000, direct, proxied));
             runAll(all);
-            m_line.add("direct_p50_us", quantile(direct, 0.5)).add("through_p50_us", quantile(through, 0.5));
-            m_line.add("added_p50_us", quantile(through, 0.5) - quantile(direct, 0.5));
-            m_line.add("added_p99_us", quantile(through, 0.99) - quantile(direct, 0.99));
+            m_line.add("direct_p50_us", quantile(direct, 0.5)).add("through_p50_us", quantile(proxied, 0.5));
+            m_line.add("added_p50_us", quantile(proxied, 0.5) - quantile(direct, 0.5));
+            m_line.add("added_p99_us", quantile(proxied, 0.99) - quantile(direct, 0.99));
         }
 
-        Net::awaitable<void> loop(std::string model, size_t number, size_t tokens, double seconds, size_t& calls, size_t& parts)
+        Net::awaitable<void> callRepeatedly(std::string model, size_t number, size_t tokens, double seconds, size_t& calls, size_t& chunks)
         {
             LoadClient client(m_context, m_daemon, m_token);
             co_await client.connect();
@@ -91,55 +91,56 @@
                     co_return;
                 }
                 ++calls;
-                parts += timing.parts;
+                chunks += timing.chunks;
             }
         }
 
         struct Throughput {
             double calls { 0 };
-            double parts { 0 };
-            double processorShare { 0 };
-            double processorSeconds { 0 };
+            double chunks { 0 };
+            double cpuShare { 0 };
+            double processCpuSeconds { 0 };
         };
 
-        // Requests and parts a second at the daemon; a share of 1 is one whole core.
-        Throughput drive(std::string const& model, size_t clients, size_t tokens)
+        // Keeps the given number of clients busy and measures the daemon. A CPU share of 1 is one core.
+        Throughput measureThroughput(std::string const& model, size_t clients, size_t tokens)
         {
             auto const seconds = m_isQuick ? 2.0 : 6.0;
             size_t calls = 0;
-            size_t parts = 0;
+            size_t chunks = 0;
             std::vector<Net::awaitable<void>> all;
             for (size_t index = 0; index < clients; ++index)
-                all.push_back(loop(model, index, tokens, seconds, calls, parts));
+                all.push_back(callRepeatedly(model, index, tokens, seconds, calls, chunks));
             auto const before = processCpuSeconds(m_pid);
             auto const start = std::chrono::steady_clock::now();
             runAll(all);
-            auto const took = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
-            auto const used = processCpuSeconds(m_pid) - before;
-            return { static_cast<double>(calls) / took, static_cast<double>(parts) / took, used / took, used };
+            auto const elapsed = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
+            auto const cpuSeconds = processCpuSeconds(m_pid) - before;
+            return { static_cast<double>(calls) / elapsed, static_cast<double>(chunks) / elapsed, cpuSeconds / elapsed, cpuSeconds };
         }
 
         void measureRequests()
         {
-            auto const result = drive("fast", 64, 1);
-            // The client shares the machine, so the daemon may not have had a whole core.
-            m_line.add("requests_per_s", result.calls / result.processorShare).add("cpu_us_per_request", 1e6 * result.processorShare / result.calls);
+            auto const result = measureThroughput("fast", 64, 1);
+            // Scaled up to a whole core, as the load client runs on the same machine and the daemon
+            // may have had less.
+            m_line.add("requests_per_s", result.calls / result.cpuShare).add("cpu_us_per_request", 1e6 * result.cpuShare / result.calls);
         }
 
         void measureTokens()
         {
-            auto const result = drive("fast", 32, 5000);
-            m_line.add("tokens_per_s", result.parts / result.processorShare);
+            auto const result = measureThroughput("fast", 32, 5000);
+            m_line.add("tokens_per_s", result.chunks / result.cpuShare);
         }
 
-        // One daemon's share of the aim: 100 streams at 36 tokens a second each.
+        // One daemon's share of the target load: 100 streams of 36 tokens per second each.
         void measurePacedTokens()
         {
-            auto const result = drive("paced", 100, 36);
-            m_line.add("paced_tokens_per_s", result.parts).add("paced_core_share", result.processorShare).add("cpu_us_per_token", 1e6 * result.processorShare / result.parts);
+            auto const result = measureThroughput("paced", 100, 36);
+            m_line.add("paced_tokens_per_s", result.chunks).add("paced_core_share", result.cpuShare).add("cpu_us_per_token", 1e6 * result.cpuShare / result.chunks);
         }
 
-        Net::awaitable<void> hold(LoadClient& client, std::string chat)
+        Net::awaitable<void> openStream(LoadClient& client, std::string chat)
         {
             auto const isConnected = co_await client.connect();
             auto const isOpen = co_await client.open(m_slowModel, std::move(chat), 600);
@@ -155,7 +156,7 @@
             auto const before = residentBytes(m_pid);
             std::vector<Net::awaitable<void>> all;
             for (size_t index = 0; index < streams; ++index)
-                all.push_back(hold(*clients[index], "hold-" + std::to_string(index)));
+                all.push_back(openStream(*clients[index], "hold-" + std::to_string(index)));
             runAll(all);
             std::this_thread::sleep_for(std::chrono::seconds(2));
             auto const after = residentBytes(m_pid);
@@ -166,7 +167,7 @@
         Endpoint m_engine;
         pid_t m_pid;
         std::string m_token;
-        // GCC 12 destroys temporaries in the arguments of co_await twice, so these are members.
+        // Members, because GCC 12 destroys temporaries in the arguments of co_await twice.
         std::string m_fastModel { "fast" };
         std::string m_slowModel { "slow" };
         bool m_isQuick;
@@ -180,7 +181,7 @@
 int measureProxy(Arguments const& arguments)
 {
     if (!Endpoint::parse(arguments.text("daemon", ""))) {
-        std::cerr << "measure proxy is started by Meta/stagepost.sh\n";
+        std::cerr << "measure proxy: no valid --daemon given; run Meta/stagepost.sh measure proxy instead\n";
         return 2;
     }
     return ProxyMeasurement(arguments).run();
