--- a/Meta/Measure/MembershipMeasurement.cpp
+++ b/Meta/Measure/MembershipMeasurement.cpp
@@ -15,13 +15,14 @@
 namespace {
 
     constexpr Microseconds networkDelay { 500 };
+    // The authenticator's frame and tag, the message kind, and the headers of UDP and IPv4.
     constexpr uint64_t datagramOverhead = Authenticator::overhead + 1 + 28;
     constexpr double warmUp = 20;
     constexpr double steadySeconds = 60;
-    constexpr double patience = 60;
+    constexpr double timeoutSeconds = 60;
 
-    // Many instances of the real membership code in one process, in six halls at the
-    // most, over a simulated network.
+    // Runs many instances of the production Membership class in one process, spread over at most six
+    // halls, on a simulated network.
     class MembershipFleet {
     public:
         MembershipFleet(size_t members, uint64_t seed)
@@ -44,7 +45,7 @@
                 [this, index](VMId to, std::string const& bytes) { send(index, to, bytes); },
                 [this] { return m_random(); },
                 [] {},
-                [this, index](VMId, Revision revision) { m_members[index].heard = std::max(m_members[index].heard, revision); },
+                [this, index](VMId, Revision revision) { m_members[index].announcedRevision = std::max(m_members[index].announcedRevision, revision); },
             };
             member.membership = std::make_unique<Membership>(member.id, member.hall, Incarnation(incarnation), std::move(hooks));
             member.isAlive = true;
@@ -56,20 +57,20 @@
         Membership& at(size_t index) { return *m_members[index].membership; }
         size_t size() const { return m_members.size(); }
 
-        // Seconds until the condition holds for every living member but the subject.
+        // Returns the seconds until the condition holds at every live member except the subject.
         template <typename Condition>
         double secondsUntilAll(size_t subject, Condition holds)
         {
             auto const start = m_events.seconds();
-            while (m_events.seconds() - start < patience) {
+            while (m_events.seconds() - start < timeoutSeconds) {
                 run(0.05);
-                bool isKnown = true;
-                for (size_t index = 0; index < m_members.size() && isKnown; ++index)
-                    isKnown = index == subject || !m_members[index].isAlive || holds(*m_members[index].membership);
-                if (isKnown)
+                bool holdsForAll = true;
+                for (size_t index = 0; index < m_members.size() && holdsForAll; ++index)
+                    holdsForAll = index == subject || !m_members[index].isAlive || holds(*m_members[index].membership);
+                if (holdsForAll)
                     return m_events.seconds() - start;
             }
-            return patience;
+            return timeoutSeconds;
         }
 
         void resetCounts()
@@ -78,18 +79,18 @@
                 member.bytes = 0;
                 member.messages = 0;
             }
-            m_processor = 0;
+            m_cpuSeconds = 0;
         }
 
         struct Load {
             double meanBytes;
             double worstBytes;
             double meanMessages;
-            double processorShare;
+            double cpuShare;
         };
         Load load(double seconds) const
         {
-            Load result { 0, 0, 0, m_processor / seconds / static_cast<double>(m_members.size()) };
+            Load result { 0, 0, 0, m_cpuSeconds / seconds / static_cast<double>(m_members.size()) };
             for (auto const& member : m_members) {
                 result.meanBytes += static_cast<double>(member.bytes) / seconds / static_cast<double>(m_members.size());
                 result.worstBytes = std::max(result.worstBytes, static_cast<double>(member.bytes) / seconds);
@@ -98,19 +99,19 @@
             return result;
         }
 
-        // Sets the revision that all but one know from the log.
-        void publish(Revision revision, size_t cut)
+        // Sets the settings revision at all members except one, which is disconnected off from the log.
+        void publish(Revision revision, size_t disconnected)
         {
             for (size_t index = 0; index < m_members.size(); ++index) {
-                if (index != cut)
+                if (index != disconnected)
                     m_members[index].membership->setRevision(revision);
             }
         }
 
-        double secondsUntilHeard(size_t index, Revision revision)
+        double secondsUntilAnnounced(size_t index, Revision revision)
         {
             auto const start = m_events.seconds();
-            while (m_members[index].heard < revision && m_events.seconds() - start < patience)
+            while (m_members[index].announcedRevision < revision && m_events.seconds() - start < timeoutSeconds)
                 run(0.01);
             return m_events.seconds() - start;
         }
@@ -121,7 +122,7 @@
             HallId hall;
             std::unique_ptr<Membership> membership;
             bool isAlive;
-            Revision heard;
+            Revision announcedRevision;
             uint64_t bytes;
             uint64_t messages;
         };
@@ -133,7 +134,7 @@
                 if (member.isAlive)
                     member.membership->tick(m_events.now());
             }
-            m_processor += threadCpuSeconds() - before;
+            m_cpuSeconds += threadCpuSeconds() - before;
             m_events.after(Membership::tickInterval, [this] { tick(); });
         }
 
@@ -147,14 +148,14 @@
                     return;
                 auto const before = threadCpuSeconds();
                 (void)receiver.membership->receive(m_members[from].id, bytes, m_events.now());
-                m_processor += threadCpuSeconds() - before;
+                m_cpuSeconds += threadCpuSeconds() - before;
             });
         }
 
         std::mt19937_64 m_random;
         EventQueue m_events;
         std::vector<Member> m_members;
-        double m_processor { 0 };
+        double m_cpuSeconds { 0 };
     };
 
     void measureSize(size_t members)
@@ -175,22 +176,22 @@
         auto const lost = fleet.secondsUntilAll(subject, [&](Membership const& other) { return other.stateOf(id) == MemberState::Dead; });
         fleet.start(subject, 2);
         auto const returned = fleet.secondsUntilAll(subject, [&](Membership const& other) { return other.stateOf(id) == MemberState::Alive; });
-        // One daemon alone reads in the list that an upstream is leaving.
+        // Only one daemon learns from the VM list that the upstream is leaving.
         UpstreamId const upstream { 77 };
         fleet.at(0).addUpstreamUpdate({ upstream, 5, UpstreamState::Leaving });
         auto const upstreamLeaving = fleet.secondsUntilAll(0, [&](Membership const& other) { return other.lastUpstreamUpdate(upstream) != nullptr; });
-        std::vector<double> heard;
+        std::vector<double> announcementTimes;
         for (uint64_t revision = 1; revision <= 20; ++revision) {
-            auto const cut = revision % members;
-            fleet.publish(Revision(revision), cut);
-            heard.push_back(fleet.secondsUntilHeard(cut, Revision(revision)));
+            auto const disconnected = revision % members;
+            fleet.publish(Revision(revision), disconnected);
+            announcementTimes.push_back(fleet.secondsUntilAnnounced(disconnected, Revision(revision)));
             fleet.publish(Revision(revision), members);
         }
         ResultLine line;
         line.add("members", static_cast<double>(members)).add("control_bytes_per_s", load.meanBytes).add("control_bytes_per_s_worst", load.worstBytes);
-        line.add("messages_per_s", load.meanMessages).add("cpu_share", load.processorShare * 100).add("cpu_unit", "percent").add("rss_bytes", bytesEach);
+        line.add("messages_per_s", load.meanMessages).add("cpu_share", load.cpuShare * 100).add("cpu_unit", "percent").add("rss_bytes", bytesEach);
         line.add("detect_lost_s", lost).add("detect_leaving_s", leaving).add("detect_returned_s", returned).add("upstream_leaving_s", upstreamLeaving);
-        line.add("cut_reader_hears_p50_s", quantile(heard, 0.5)).add("cut_reader_hears_worst_s", quantile(heard, 1));
+        line.add("cut_reader_hears_p50_s", quantile(announcementTimes, 0.5)).add("cut_reader_hears_worst_s", quantile(announcementTimes, 1));
         line.print();
     }
 
--- a/Meta/Measure/SettingsMeasurement.cpp
+++ b/Meta/Measure/SettingsMeasurement.cpp
@@ -16,15 +16,15 @@
 
     using Json = nlohmann::json;
 
-    // As many as the users expect to have at most.
+    // The largest number of organisations that the users expect.
     constexpr size_t organisations { 310 };
     constexpr size_t keysOfOrganisation { 3 };
     constexpr size_t services { 8 };
 
-    // Configurations as the platform writes them, with names that are drawn.
-    class Configurations {
+    // Generates manifests in the platform's format, with random names.
+    class ManifestGenerator {
     public:
-        explicit Configurations(size_t routes)
+        explicit ManifestGenerator(size_t routes)
         {
             for (size_t number = 0; number < routes; ++number)
                 addRoute();
@@ -38,12 +38,11 @@
         {
             for (size_t number = 0; number < moreRoutes; ++number)
                 addRoute();
-            // Another order of the fields than in a sorted object, as it comes.
             return Json { { "version", ++m_version }, { "routes", m_routes }, { "services", m_services }, { "tenants", m_organisations } }.dump();
         }
 
     private:
-        std::string word(size_t length)
+        std::string randomWord(size_t length)
         {
             std::string text;
             while (text.size() < length)
@@ -53,7 +52,7 @@
 
         void addRoute()
         {
-            m_routes.push_back({ { "name", "r-" + word(7) }, { "host", "club.example" }, { "pathPrefix", "/" + word(7) + "/" }, { "kind", "streaming" },
+            m_routes.push_back({ { "name", "r-" + randomWord(7) }, { "host", "club.example" }, { "pathPrefix", "/" + randomWord(7) + "/" }, { "kind", "streaming" },
                 { "timeoutMs", 10000 }, { "targetLatencyMs", 500 }, { "priority", 1 }, { "service", "service" + std::to_string(m_random() % services) },
                 { "maxAttempts", 2 }, { "public", false }, { "sticky", true }, { "resumable", false }, { "targetGapMs", 400 } });
         }
@@ -62,8 +61,8 @@
         {
             Json keys = Json::array();
             while (keys.size() < keysOfOrganisation)
-                keys.push_back(word(20));
-            m_organisations.push_back({ { "name", word(8) }, { "apiKeys", keys }, { "priority", 1 } });
+                keys.push_back(randomWord(20));
+            m_organisations.push_back({ { "name", randomWord(8) }, { "apiKeys", keys }, { "priority", 1 } });
         }
 
         std::mt19937_64 m_random { 1 };
@@ -73,8 +72,8 @@
         Json m_services = Json::array();
     };
 
-    // The median of a few runs, in milliseconds of the processor.
-    double cost(size_t runs, std::function<void()> const& work)
+    // Returns the median CPU time of the runs in milliseconds.
+    double medianCpuMilliseconds(size_t runs, std::function<void()> const& work)
     {
         std::vector<double> samples;
         for (size_t run = 0; run < runs; ++run) {
@@ -85,33 +84,33 @@
         return quantile(samples, 0.5);
     }
 
-    Result<RouteTable::Parts> readWhole(IncrementalSettingsParser const& step)
+    Result<RouteTable::Parts> parseToEnd(IncrementalSettingsParser const& parser)
     {
         for (;;) {
-            if (auto parts = step())
+            if (auto parts = parser())
                 return std::move(*parts);
         }
     }
 
     void measureChange(size_t routes, size_t moreRoutes, size_t runs)
     {
-        Configurations configurations(routes);
-        auto const before = configurations.next(0);
-        auto const after = configurations.next(moreRoutes);
+        ManifestGenerator generator(routes);
+        auto const before = generator.next(0);
+        auto const after = generator.next(moreRoutes);
         auto const delta = makeDelta(before, after);
         auto const parsed = readManifest(after);
         ResultLine line;
         line.add("settings_routes", static_cast<double>(routes)).add("more_routes", static_cast<double>(moreRoutes));
         line.add("text_kb", static_cast<double>(after.size()) / 1000).add("told_kb", static_cast<double>(delta.size()) / 1000);
-        line.add("delta_ms", cost(runs, [&] { (void)makeDelta(before, after); }));
-        line.add("apply_ms", cost(runs, [&] { (void)applyDelta(before, delta); }));
+        line.add("delta_ms", medianCpuMilliseconds(runs, [&] { (void)makeDelta(before, after); }));
+        line.add("apply_ms", medianCpuMilliseconds(runs, [&] { (void)applyDelta(before, delta); }));
         line.add("whole_kb", static_cast<double>(makeDelta({}, after).size()) / 1000);
         ManifestReader reader;
-        (void)readWhole(reader.read(makeSettingsText(before)));
-        line.add("read_change_ms", cost(1, [&] { (void)readWhole(reader.read(makeSettingsText(after))); }));
-        line.add("read_same_ms", cost(runs, [&] { (void)readWhole(reader.read(makeSettingsText(after))); }));
-        line.add("read_ms", cost(runs, [&] { (void)readManifest(after); }));
-        line.add("table_ms", cost(runs, [&] { RouteTable const table(*parsed); }));
+        (void)parseToEnd(reader.read(makeSettingsText(before)));
+        line.add("read_change_ms", medianCpuMilliseconds(1, [&] { (void)parseToEnd(reader.read(makeSettingsText(after))); }));
+        line.add("read_same_ms", medianCpuMilliseconds(runs, [&] { (void)parseToEnd(reader.read(makeSettingsText(after))); }));
+        line.add("read_ms", medianCpuMilliseconds(runs, [&] { (void)readManifest(after); }));
+        line.add("table_ms", medianCpuMilliseconds(runs, [&] { RouteTable const table(*parsed); }));
         line.print();
     }
 
