--- a/Meta/Measure/Placement/EventQueue.h
+++ b/Meta/Measure/Placement/EventQueue.h
@@ -8,7 +8,7 @@
 
 namespace Stagepost::Measure {
 
-// Runs functions in the order of their times on a clock that only it moves.
+// A discrete-event scheduler with a simulated clock. Events at the same time run in insertion order.
 class EventQueue {
 public:
     Instant now() const { return m_now; }
--- a/Meta/Measure/Placement/OwnersPolicy.cpp
+++ b/Meta/Measure/Placement/OwnersPolicy.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-    // One way between daemons, and what a datagram costs besides its body: the
-    // frame and tag of the authenticator and the headers of UDP and IP.
+    // The one-way delay between daemons, and the bytes of a datagram besides its body: the frame and
+    // tag of the authenticator and the headers of UDP and IPv4.
     constexpr Microseconds networkDelay { 500 };
     constexpr uint64_t datagramOverhead = Authenticator::overhead + 28;
-    constexpr double longestWait = 30;
+    constexpr double maxWaitSeconds = 30;
 
-    // The real decision code, one instance a daemon, over a simulated network.
+    // Runs one production AdmissionController per daemon on a simulated network.
     class OwnersPolicy final : public Policy {
-        // Adds the processor time of the outermost call alone.
+        // Adds the CPU time of the call. Nested calls count once, as part of the outermost one.
         template <typename Function>
         auto timed(Function function)
         {
@@ -27,7 +27,7 @@
             m_isTimed = true;
             auto const before = threadCpuSeconds();
             auto result = function();
-            m_processor += threadCpuSeconds() - before;
+            m_cpuSeconds += threadCpuSeconds() - before;
             m_isTimed = false;
             return result;
         }
@@ -43,35 +43,35 @@
             }
         }
 
-        void place(TracedRequest const& request, std::vector<size_t> const& excluded, Placed placed) override
+        void place(TracedRequest const& request, std::vector<size_t> const& excluded, PlacementCallback callback) override
         {
             auto& node = *m_nodes[request.entry];
             auto const now = m_world.events.now();
             auto const organisation = OrganisationId(request.organisation + 1);
             if (auto const refusal = timed([&] { return node.admitOrganisation(organisation, now); })) {
-                placed({ {}, 0, std::string(nameOf(refusal->reason)) });
+                callback({ {}, 0, std::string(nameOf(refusal->reason)) });
                 return;
             }
-            PlacementRequest wanted;
-            wanted.pool = World::pool();
-            wanted.chat = ChatId(request.chat);
-            wanted.organisation = organisation;
-            wanted.priority = request.priority;
-            wanted.contextTokens = request.contextTokens;
-            wanted.deadline = now + fromSeconds(longestWait);
+            PlacementRequest placementRequest;
+            placementRequest.pool = World::pool();
+            placementRequest.chat = ChatId(request.chat);
+            placementRequest.organisation = organisation;
+            placementRequest.priority = request.priority;
+            placementRequest.contextTokens = request.contextTokens;
+            placementRequest.deadline = now + fromSeconds(maxWaitSeconds);
             for (auto const engine : excluded)
-                wanted.excluded.push_back(m_world.engines[engine].id);
+                placementRequest.excluded.push_back(m_world.engines[engine].id);
             auto const entry = request.entry;
             timed([&] {
-                return node.acquire(wanted, now, [this, entry, organisation, placed = std::move(placed)](Placement const& placement) {
+                return node.acquire(placementRequest, now, [this, entry, organisation, callback = std::move(callback)](Placement const& placement) {
                     if (auto const* refusal = std::get_if<Refusal>(&placement)) {
                         m_nodes[entry]->organisationFinished(organisation);
-                        placed({ {}, 0, std::string(nameOf(refusal->reason)) });
+                        callback({ {}, 0, std::string(nameOf(refusal->reason)) });
                         return;
                     }
                     auto const& lease = std::get<Lease>(placement);
                     m_organisationOf[lease.id.value()] = organisation;
-                    placed({ m_world.engineIndex(lease.upstream), lease.id.value(), {} });
+                    callback({ m_world.engineIndex(lease.upstream), lease.id.value(), {} });
                 });
             });
         }
@@ -79,12 +79,12 @@
         void finished(size_t daemon, PlacedRequest const& placed, bool isOk) override
         {
             auto& node = *m_nodes[daemon];
-            if (auto const found = m_organisationOf.find(placed.ticket); found != m_organisationOf.end()) {
+            if (auto const found = m_organisationOf.find(placed.leaseId); found != m_organisationOf.end()) {
                 node.organisationFinished(found->second);
                 m_organisationOf.erase(found);
             }
             timed([&] {
-                node.release(LeaseId(placed.ticket), isOk ? LeaseOutcome::Succeeded : LeaseOutcome::Failed, m_world.events.now());
+                node.release(LeaseId(placed.leaseId), isOk ? LeaseOutcome::Succeeded : LeaseOutcome::Failed, m_world.events.now());
                 return 0;
             });
         }
@@ -127,7 +127,7 @@
 
         uint64_t controlBytes() const override { return m_bytes; }
         uint64_t controlMessages() const override { return m_messages; }
-        double decisionCpuSeconds() const override { return m_processor; }
+        double decisionCpuSeconds() const override { return m_cpuSeconds; }
 
     private:
         UpstreamOwner* ownerAt(size_t daemon, size_t engine)
@@ -171,19 +171,20 @@
             policy.candidates = m_options.candidates;
             policy.newChatReserve = m_options.newChatReserve;
             policy.recomputePerToken = Microseconds(m_options.recomputeMicroseconds);
-            policy.maxInFlight = m_world.size.mostInFlight;
+            policy.maxInFlight = m_world.size.maxInFlight;
             return policy;
         }
 
-        // Three times what the organisation usually has in flight and a second.
+        // Limits an organisation to three times its mean request rate and, at 13 s per request, its mean
+        // number of requests in flight.
         OrganisationLimits limitsOf(OrganisationId organisation) const
         {
             if (!m_options.limitsOrganisations)
                 return { 1e9, 1e9 };
-            double all = 0;
+            double totalWeight = 0;
             for (size_t index = 0; index < m_world.size.organisations; ++index)
-                all += 1.0 / static_cast<double>(index + 1);
-            auto const share = 1.0 / static_cast<double>(organisation.value()) / all;
+                totalWeight += 1.0 / static_cast<double>(index + 1);
+            auto const share = 1.0 / static_cast<double>(organisation.value()) / totalWeight;
             auto const rate = 3 * std::max(1.0, share * m_world.size.requestsPerSecond);
             return { rate, 13 * rate };
         }
@@ -193,7 +194,7 @@
         std::unordered_map<uint64_t, OrganisationId> m_organisationOf;
         uint64_t m_bytes { 0 };
         uint64_t m_messages { 0 };
-        double m_processor { 0 };
+        double m_cpuSeconds { 0 };
         bool m_isTimed { false };
     };
 
--- a/Meta/Measure/Placement/PlacementMeasurement.cpp
+++ b/Meta/Measure/Placement/PlacementMeasurement.cpp
@@ -2,7 +2,7 @@
 
 #include <LibRouting/ContextTable.h>
 #include <LibRouting/UpstreamOwner.h>
-#include <Measure/Placement/Run.h>
+#include <Measure/Placement/PlacementSimulation.h>
 #include <Measure/Statistics.h>
 #include <malloc.h>
 
@@ -16,17 +16,17 @@
     {
         auto const margin = [&](uint64_t fallback) { return static_cast<double>(arguments.number("margin-percent", fallback)) / 100; };
         bool const isQuick = arguments.isQuick();
-        FleetSize const today { "today", 3, 6, 10, 9, 10, isQuick ? 200.0 : 1200.0, 24, margin(5) };
-        FleetSize const aim { "aim", 3, 165, 440, 2600, 310, isQuick ? 40.0 : 120.0, 128, margin(5) };
+        FleetSize const current { "today", 3, 6, 10, 9, 10, isQuick ? 200.0 : 1200.0, 24, margin(5) };
+        FleetSize const target { "aim", 3, 165, 440, 2600, 310, isQuick ? 40.0 : 120.0, 128, margin(5) };
         auto const wanted = arguments.text("size", "");
         if (wanted == "today")
-            return { today };
+            return { current };
         if (wanted == "aim")
-            return { aim };
-        return { today, aim };
+            return { target };
+        return { current, target };
     }
 
-    // Faults come in the middle of each run.
+    // Single faults and surges begin at 55% of the run; engines are lost repeatedly throughout it.
     std::vector<Scenario> scenarios(FleetSize const& size)
     {
         auto const middle = size.seconds * 0.55;
@@ -39,8 +39,8 @@
         }
         all[2].name = "views-differ-5s";
         all[2].engineLosses = all[1].engineLosses;
-        all[2].noticeLeast = 0;
-        all[2].noticeMost = 5;
+        all[2].minDetectionDelay = 0;
+        all[2].maxDetectionDelay = 5;
         all[3].name = "surge";
         all[3].workload.surge = 10;
         all[3].workload.surgeFrom = middle;
@@ -54,7 +54,7 @@
         all[6].hallCut = std::pair<double, double> { middle, middle + 20 };
         all[7].name = "late-reports";
         all[7].reportLag = 2;
-        all[7].lostEvents = 0.1;
+        all[7].eventLossRate = 0.1;
         for (auto& scenario : all)
             scenario.workload.seed = 7;
         return all;
@@ -93,7 +93,7 @@
         };
     }
 
-    // The memory of a full table of held chats, by what the allocator counts.
+    // Returns the allocated bytes per entry of a full ContextTable.
     double bytesPerChat()
     {
         auto const before = mallinfo2().uordblks;
@@ -111,11 +111,11 @@
         ResultLine line;
         line.add("scenario", scenario).add("size", size.name).add("policy", policy).add("reuse", result.reuse).add("reuse_clairvoyant", clairvoyant);
         line.add("reuse_share", clairvoyant > 0 ? result.reuse / clairvoyant : 0);
-        line.add("skew_worst", result.skewWorst).add("over_s", result.overSeconds).add("sampled_s", result.sampledSeconds);
+        line.add("skew_worst", result.maxSkew).add("over_s", result.secondsOverMultiple).add("sampled_s", result.sampledSeconds);
         line.add("urgent_p50_ms", quantile(result.urgentWaits, 0.5)).add("urgent_p99_ms", quantile(result.urgentWaits, 0.99));
         line.add("bulk_p50_ms", quantile(result.bulkWaits, 0.5)).add("bulk_p99_ms", quantile(result.bulkWaits, 0.99)).add("others_bulk_p99_ms", quantile(result.othersBulkWaits, 0.99));
         line.add("control_bytes_per_s", result.controlBytesPerSecond).add("control_messages_per_s", result.controlMessagesPerSecond);
-        line.add("cpu_us_per_decision", result.processorPerDecision * 1e6).add("bytes_per_chat", policy.starts_with("owners") ? bytesPerChat() : 0);
+        line.add("cpu_us_per_decision", result.cpuSecondsPerDecision * 1e6).add("bytes_per_chat", policy.starts_with("owners") ? bytesPerChat() : 0);
         line.add("placed", static_cast<double>(result.placed)).add("refusals", refusals.empty() ? "none" : refusals);
         line.print();
     }
@@ -130,7 +130,7 @@
         for (auto const& scenario : scenarios(size)) {
             if (!onlyScenario.empty() && onlyScenario != scenario.name)
                 continue;
-            // A quick run looks at the large size in one scenario only.
+            // A quick run simulates the large fleet in the steady scenario only.
             bool const isSkipped = arguments.isQuick() && onlyScenario.empty() && size.name == std::string("aim") && scenario.name != "steady";
             if (isSkipped)
                 continue;
--- a/Meta/Measure/Placement/Run.h
+++ b/Meta/Measure/Placement/PlacementSimulation.h
@@ -9,42 +9,42 @@
 
 namespace Stagepost::Measure {
 
-// What goes wrong in a run, and when.
+// The workload of a simulation and the faults that are injected.
 struct Scenario {
     std::string name;
     WorkloadOptions workload;
-    // Engines that are lost at a time and come back empty after some seconds.
+    // Engines that are lost at a time and return with an empty cache. Times are in seconds.
     struct EngineLoss {
         size_t engine;
         double at;
-        double backAfter;
+        double downtime;
     };
     std::vector<EngineLoss> engineLosses;
-    // Until a daemon knows of a change, at the least and at the most, in seconds.
-    double noticeLeast { 0.5 };
-    double noticeMost { 2 };
+    // Bounds of the random time until a daemon learns of a change.
+    double minDetectionDelay { 0.5 };
+    double maxDetectionDelay { 2 };
     std::optional<std::pair<size_t, double>> daemonLoss;
     std::optional<std::pair<double, double>> hallCut;
     double reportLag { 0.5 };
-    double lostEvents { 0 };
+    double eventLossRate { 0 };
     bool limitsOrganisations { true };
 };
 
 struct RunResult {
     double reuse { 0 };
-    double skewWorst { 0 };
-    double overSeconds { 0 };
+    double maxSkew { 0 };
+    double secondsOverMultiple { 0 };
     double sampledSeconds { 0 };
     std::vector<double> urgentWaits;
     std::vector<double> bulkWaits;
-    // Of organisations other than the one that surges.
+    // Waits of bulk requests from organisations other than the surging one.
     std::vector<double> othersBulkWaits;
     std::map<std::string, uint64_t> refusals;
     uint64_t decisions { 0 };
     uint64_t placed { 0 };
     double controlBytesPerSecond { 0 };
     double controlMessagesPerSecond { 0 };
-    double processorPerDecision { 0 };
+    double cpuSecondsPerDecision { 0 };
     double firstChoice { 0 };
 };
 
--- a/Meta/Measure/Placement/Policy.h
+++ b/Meta/Measure/Placement/Policy.h
@@ -10,18 +10,19 @@
 
 namespace Stagepost::Measure {
 
-// Where a request was put, and what to hand back when it is over.
+// The result of placing a request.
 struct PlacedRequest {
     std::optional<size_t> engine;
-    uint64_t ticket { 0 };
-    // Why it got no place.
+    // Identifies the lease to release when the request has finished.
+    uint64_t leaseId { 0 };
+    // The reason for the refusal, if no engine was assigned.
     std::string refusal;
 };
 
-// A way to place requests, under measurement.
+// A placement policy under measurement.
 class Policy {
 public:
-    using Placed = std::function<void(PlacedRequest const&)>;
+    using PlacementCallback = std::function<void(PlacedRequest const&)>;
 
     explicit Policy(World& world)
         : m_world(world)
@@ -31,20 +32,20 @@
     Policy(Policy const&) = delete;
     Policy& operator=(Policy const&) = delete;
 
-    virtual void place(TracedRequest const&, std::vector<size_t> const& excluded, Placed) = 0;
+    virtual void place(TracedRequest const&, std::vector<size_t> const& excluded, PlacementCallback) = 0;
     virtual void finished(size_t daemon, PlacedRequest const&, bool isOk) = 0;
-    // A daemon's beliefs have changed.
+    // Called when a daemon's view has changed.
     virtual void viewChanged(size_t) { }
     virtual void daemonLost(size_t) { }
-    // An engine's own report of its load arrives, at all who are told.
+    // Called when an engine's load report arrives. All its recipients get it at the same time.
     virtual void loadReported(size_t, size_t) { }
     virtual void cacheEvent(size_t, SimulatedEngine::CacheEvent const&) { }
-    // Every 50 ms.
+    // Called every 50 ms.
     virtual void tick() { }
 
     virtual uint64_t controlBytes() const { return 0; }
     virtual uint64_t controlMessages() const { return 0; }
-    // Processor time in decisions, over all daemons.
+    // CPU time spent on decisions by all daemons.
     virtual double decisionCpuSeconds() const { return 0; }
 
 protected:
--- a/Meta/Measure/Placement/SimulatedEngine.cpp
+++ b/Meta/Measure/Placement/SimulatedEngine.cpp
@@ -4,16 +4,16 @@
 
 namespace Stagepost::Measure {
 
-uint32_t SimulatedEngine::heldTokens(uint64_t chat) const
+uint32_t SimulatedEngine::cachedTokens(uint64_t chat) const
 {
-    auto const found = m_held.find(chat);
-    return found == m_held.end() ? 0 : found->second.tokens;
+    auto const found = m_cache.find(chat);
+    return found == m_cache.end() ? 0 : found->second.tokens;
 }
 
 uint32_t SimulatedEngine::start(TracedRequest const& request)
 {
     ++inFlight;
-    auto const reused = std::min(heldTokens(request.chat), request.contextTokens);
+    auto const reused = std::min(cachedTokens(request.chat), request.contextTokens);
     store(request.chat, request.contextTokens + request.newTokens);
     return reused;
 }
@@ -26,33 +26,33 @@
 
 void SimulatedEngine::store(uint64_t chat, uint32_t tokens)
 {
-    auto const found = m_held.find(chat);
-    if (found != m_held.end()) {
+    auto const found = m_cache.find(chat);
+    if (found != m_cache.end()) {
         m_usedTokens -= found->second.tokens;
-        m_order.erase(found->second.place);
+        m_recency.erase(found->second.position);
     } else {
         m_events.push_back({ chat, true, tokens });
     }
-    m_order.push_front(chat);
-    m_held[chat] = { tokens, m_order.begin() };
+    m_recency.push_front(chat);
+    m_cache[chat] = { tokens, m_recency.begin() };
     m_usedTokens += tokens;
-    while (m_usedTokens > memoryTokens && m_order.size() > 1) {
-        auto const oldest = m_order.back();
-        m_usedTokens -= m_held[oldest].tokens;
-        m_held.erase(oldest);
-        m_order.pop_back();
+    while (m_usedTokens > cacheCapacityTokens && m_recency.size() > 1) {
+        auto const oldest = m_recency.back();
+        m_usedTokens -= m_cache[oldest].tokens;
+        m_cache.erase(oldest);
+        m_recency.pop_back();
         m_events.push_back({ oldest, false, 0 });
     }
 }
 
-void SimulatedEngine::lose()
+void SimulatedEngine::reset()
 {
-    m_held.clear();
-    m_order.clear();
+    m_cache.clear();
+    m_recency.clear();
     m_usedTokens = 0;
     m_events.clear();
     inFlight = 0;
-    ++life;
+    ++generation;
 }
 
 }
--- a/Meta/Measure/Placement/SimulatedEngine.h
+++ b/Meta/Measure/Placement/SimulatedEngine.h
@@ -10,10 +10,10 @@
 
 namespace Stagepost::Measure {
 
-// An engine's cache of contexts in limited memory, least recently used out first.
+// Simulates an engine's load and its LRU cache of chat contexts.
 class SimulatedEngine {
 public:
-    static constexpr uint32_t memoryTokens = 600000;
+    static constexpr uint32_t cacheCapacityTokens = 600000;
 
     struct CacheEvent {
         uint64_t chat { 0 };
@@ -27,31 +27,31 @@
     {
     }
 
-    // Takes one request in; returns how many tokens of its context were there.
+    // Starts a request and returns the number of its context tokens that were cached.
     uint32_t start(TracedRequest const&);
     void finish(TracedRequest const&);
-    // Loses all that it has.
-    void lose();
+    // Simulates the loss of the engine: clears the cache, the pending events and the load.
+    void reset();
 
-    uint32_t heldTokens(uint64_t chat) const;
+    uint32_t cachedTokens(uint64_t chat) const;
     std::vector<CacheEvent> takeEvents() { return std::exchange(m_events, {}); }
 
     UpstreamId id;
     size_t hall;
     bool isAlive { true };
     size_t inFlight { 0 };
-    // Rises each time that it loses all, so that what ran before is known to be gone.
-    uint64_t life { 0 };
+    // Incremented by each reset(), which ends all requests that were running.
+    uint64_t generation { 0 };
 
 private:
-    struct Held {
+    struct CacheEntry {
         uint32_t tokens { 0 };
-        std::list<uint64_t>::iterator place;
+        std::list<uint64_t>::iterator position;
     };
     void store(uint64_t chat, uint32_t tokens);
 
-    std::unordered_map<uint64_t, Held> m_held;
-    std::list<uint64_t> m_order;
+    std::unordered_map<uint64_t, CacheEntry> m_cache;
+    std::list<uint64_t> m_recency;
     uint64_t m_usedTokens { 0 };
     std::vector<CacheEvent> m_events;
 };
--- a/Meta/Measure/Placement/StatelessPolicies.cpp
+++ b/Meta/Measure/Placement/StatelessPolicies.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-    // The ways without owners: every daemon decides for itself, by what it knows of
-    // the engines' loads, and nothing ever waits.
+    // Base of the policies without owners. Each daemon decides on its own from the engine loads that it
+    // knows of, and requests are never queued.
     class StatelessPolicy : public Policy {
     public:
         StatelessPolicy(World& world, PolicyOptions const& options)
@@ -22,7 +22,7 @@
                 m_views.push_back(world.viewOf(index));
         }
 
-        void place(TracedRequest const& request, std::vector<size_t> const& excluded, Placed placed) override
+        void place(TracedRequest const& request, std::vector<size_t> const& excluded, PlacementCallback callback) override
         {
             auto const before = threadCpuSeconds();
             auto const& view = m_views[request.entry];
@@ -35,25 +35,25 @@
             std::optional<size_t> chosen;
             if (!order.empty())
                 chosen = choose(request.entry, order);
-            m_processor += threadCpuSeconds() - before;
+            m_cpuSeconds += threadCpuSeconds() - before;
             if (!chosen) {
-                placed({ {}, 0, "no-upstream" });
+                callback({ {}, 0, "no-upstream" });
                 return;
             }
-            noteStart(request.entry, *chosen);
-            placed({ chosen, *chosen, {} });
+            requestStarted(request.entry, *chosen);
+            callback({ chosen, *chosen, {} });
         }
 
-        void finished(size_t daemon, PlacedRequest const& placed, bool) override { noteEnd(daemon, *placed.engine); }
+        void finished(size_t daemon, PlacedRequest const& placed, bool) override { requestEnded(daemon, *placed.engine); }
         void viewChanged(size_t daemon) override { m_views[daemon] = m_world.viewOf(daemon); }
-        double decisionCpuSeconds() const override { return m_processor; }
+        double decisionCpuSeconds() const override { return m_cpuSeconds; }
 
     protected:
         virtual size_t choose(size_t daemon, std::vector<size_t> const& order) = 0;
-        virtual void noteStart(size_t, size_t) { }
-        virtual void noteEnd(size_t, size_t) { }
+        virtual void requestStarted(size_t, size_t) { }
+        virtual void requestEnded(size_t, size_t) { }
 
-        // The first in order that is below the cap, else the least loaded.
+        // Returns the first engine in order with a load below the cap, or else the least loaded one.
         size_t firstBelowCap(std::vector<double> const& loads, std::vector<size_t> const& order, RoutingView const& view) const
         {
             double total = 0;
@@ -62,7 +62,7 @@
             PoolPolicy policy;
             policy.loadMultiple = m_options.loadMultiple;
             policy.admissionMargin = m_options.margin;
-            policy.maxInFlight = m_world.size.mostInFlight;
+            policy.maxInFlight = m_world.size.maxInFlight;
             auto const cap = static_cast<double>(admissionCap(policy, total / std::max(1.0, static_cast<double>(view.upstreams().size()))));
             for (auto const engine : order) {
                 if (loads[engine] < cap)
@@ -73,7 +73,7 @@
 
         PolicyOptions m_options;
         std::vector<RoutingView> m_views;
-        double m_processor { 0 };
+        double m_cpuSeconds { 0 };
     };
 
     class ReportsPolicy : public StatelessPolicy {
@@ -87,7 +87,7 @@
         void loadReported(size_t engine, size_t load) override
         {
             m_reported[engine] = static_cast<double>(load);
-            // Every daemon reads every engine's report.
+            // Each daemon receives each engine's report.
             m_messages += m_world.daemons.size();
         }
 
@@ -115,14 +115,14 @@
         }
     };
 
-    // Every daemon tells every other one once a second what it has in flight where.
+    // Once a second, each daemon sends all others its number of requests in flight per engine.
     class GossipPolicy final : public StatelessPolicy {
     public:
         GossipPolicy(World& world, PolicyOptions const& options)
             : StatelessPolicy(world, options)
-            , m_own(world.daemons.size(), std::vector<double>(world.engines.size(), 0))
-            , m_told(m_own)
-            , m_toldTotal(world.engines.size(), 0)
+            , m_current(world.daemons.size(), std::vector<double>(world.engines.size(), 0))
+            , m_sent(m_current)
+            , m_sentTotal(world.engines.size(), 0)
         {
         }
 
@@ -130,50 +130,50 @@
         {
             if (++m_ticks % ticksPerRound)
                 return;
-            m_told = m_own;
-            std::fill(m_toldTotal.begin(), m_toldTotal.end(), 0);
-            for (size_t daemon = 0; daemon < m_told.size(); ++daemon) {
+            m_sent = m_current;
+            std::fill(m_sentTotal.begin(), m_sentTotal.end(), 0);
+            for (size_t daemon = 0; daemon < m_sent.size(); ++daemon) {
                 uint64_t entries = 0;
-                for (size_t engine = 0; engine < m_toldTotal.size(); ++engine) {
-                    m_toldTotal[engine] += m_told[daemon][engine];
-                    entries += m_told[daemon][engine] > 0;
+                for (size_t engine = 0; engine < m_sentTotal.size(); ++engine) {
+                    m_sentTotal[engine] += m_sent[daemon][engine];
+                    entries += m_sent[daemon][engine] > 0;
                 }
-                auto const others = m_told.size() - 1;
+                auto const others = m_sent.size() - 1;
                 m_messages += others;
                 m_bytes += others * (overheadBytes + entries * entryBytes);
             }
         }
 
-        void daemonLost(size_t daemon) override { std::fill(m_own[daemon].begin(), m_own[daemon].end(), 0); }
+        void daemonLost(size_t daemon) override { std::fill(m_current[daemon].begin(), m_current[daemon].end(), 0); }
         uint64_t controlMessages() const override { return m_messages; }
         uint64_t controlBytes() const override { return m_bytes; }
 
     protected:
         size_t choose(size_t daemon, std::vector<size_t> const& order) override
         {
-            auto loads = m_toldTotal;
+            auto loads = m_sentTotal;
             for (size_t engine = 0; engine < loads.size(); ++engine)
-                loads[engine] += m_own[daemon][engine] - m_told[daemon][engine];
+                loads[engine] += m_current[daemon][engine] - m_sent[daemon][engine];
             return firstBelowCap(loads, order, m_views[daemon]);
         }
-        void noteStart(size_t daemon, size_t engine) override { m_own[daemon][engine] += 1; }
-        void noteEnd(size_t daemon, size_t engine) override { m_own[daemon][engine] = std::max(0.0, m_own[daemon][engine] - 1); }
+        void requestStarted(size_t daemon, size_t engine) override { m_current[daemon][engine] += 1; }
+        void requestEnded(size_t daemon, size_t engine) override { m_current[daemon][engine] = std::max(0.0, m_current[daemon][engine] - 1); }
 
     private:
         static constexpr size_t ticksPerRound = 20;
         static constexpr uint64_t overheadBytes = 68;
         static constexpr uint64_t entryBytes = 10;
 
-        std::vector<std::vector<double>> m_own;
-        std::vector<std::vector<double>> m_told;
-        std::vector<double> m_toldTotal;
+        std::vector<std::vector<double>> m_current;
+        std::vector<std::vector<double>> m_sent;
+        std::vector<double> m_sentTotal;
         size_t m_ticks { 0 };
         uint64_t m_messages { 0 };
         uint64_t m_bytes { 0 };
     };
 
-    // Knows every load and every cache as they are, and which engines will be lost
-    // within the time that a chat goes on. Nobody can do that; it is the measure.
+    // Knows the exact load and cache of every engine, and the engine losses of the next 60 seconds. No
+    // real policy can; it is the reference that the others are compared with.
     class ClairvoyantPolicy final : public StatelessPolicy {
     public:
         ClairvoyantPolicy(World& world, PolicyOptions const& options, std::vector<std::pair<size_t, double>> losses)
@@ -182,44 +182,45 @@
         {
         }
 
-        void place(TracedRequest const& request, std::vector<size_t> const&, Placed placed) override
+        void place(TracedRequest const& request, std::vector<size_t> const&, PlacementCallback callback) override
         {
             PoolPolicy policy;
             policy.loadMultiple = m_options.loadMultiple;
             policy.admissionMargin = 0;
-            policy.maxInFlight = m_world.size.mostInFlight;
+            policy.maxInFlight = m_world.size.maxInFlight;
             auto const cap = admissionCap(policy, m_world.meanLoad());
             std::optional<size_t> holder;
-            std::optional<size_t> emptiest;
+            std::optional<size_t> leastLoaded;
             for (size_t index = 0; index < m_world.engines.size(); ++index) {
                 auto const& engine = m_world.engines[index];
                 auto const& entry = m_world.daemons[request.entry];
                 if (!engine.isAlive || !m_world.isReachable(entry.hall, engine.hall))
                     continue;
-                auto const held = engine.heldTokens(request.chat);
-                if (held && engine.inFlight < cap && (!holder || held > m_world.engines[*holder].heldTokens(request.chat)))
+                auto const held = engine.cachedTokens(request.chat);
+                if (held && engine.inFlight < cap && (!holder || held > m_world.engines[*holder].cachedTokens(request.chat)))
                     holder = index;
-                if (!emptiest || rank(index) < rank(*emptiest))
-                    emptiest = index;
+                if (!leastLoaded || rank(index) < rank(*leastLoaded))
+                    leastLoaded = index;
             }
-            auto const chosen = holder ? holder : emptiest;
-            placed({ chosen, chosen.value_or(0), chosen ? "" : "no-upstream" });
+            auto const chosen = holder ? holder : leastLoaded;
+            callback({ chosen, chosen.value_or(0), chosen ? "" : "no-upstream" });
         }
 
     protected:
         size_t choose(size_t, std::vector<size_t> const& order) override { return order.front(); }
 
     private:
-        // Engines that are about to be lost come last.
+        // Ranks engines by load. Engines that will be lost within the horizon come last, unless their load
+        // is more than about a tenth below the mean.
         double rank(size_t engine) const
         {
-            constexpr double horizon = 60;
+            constexpr double horizonSeconds = 60;
             auto const now = m_world.events.seconds();
-            bool const isDoomed = std::any_of(m_losses.begin(), m_losses.end(), [&](auto const& loss) {
-                return loss.first == engine && loss.second > now && loss.second < now + horizon;
+            bool const willBeLost = std::any_of(m_losses.begin(), m_losses.end(), [&](auto const& loss) {
+                return loss.first == engine && loss.second > now && loss.second < now + horizonSeconds;
             });
             auto const load = static_cast<double>(m_world.engines[engine].inFlight);
-            return isDoomed && load * 1.1 > m_world.meanLoad() ? 1e6 + load : load;
+            return willBeLost && load * 1.1 > m_world.meanLoad() ? 1e6 + load : load;
         }
 
         std::vector<std::pair<size_t, double>> m_losses;
--- a/Meta/Measure/Placement/Workload.cpp
+++ b/Meta/Measure/Placement/Workload.cpp
@@ -8,11 +8,11 @@
 namespace {
 
     constexpr double meanTurns = 6;
-    constexpr double meanPause = 30;
+    constexpr double meanPauseSeconds = 30;
     constexpr double urgentShare = 0.1;
     constexpr double meanAnswerTokens = 250;
     constexpr uint32_t urgentAnswerTokens = 40;
-    constexpr uint32_t firstTokens = 600;
+    constexpr uint32_t firstTurnTokens = 600;
     constexpr double meanNewTokens = 150;
 
     using Engine = std::mt19937_64;
@@ -22,7 +22,7 @@
         return std::exponential_distribution<double>(1 / mean)(engine);
     }
 
-    // A few organisations are large: weights 1, 1/2, 1/3, ...
+    // Draws an organisation with the weights 1, 1/2, 1/3, ...
     size_t pickOrganisation(Engine& engine, size_t count)
     {
         std::vector<double> weights(count);
@@ -35,9 +35,9 @@
     {
         auto const chat = engine();
         uint32_t context = 0;
-        uint32_t fresh = firstTokens;
+        uint32_t newTokens = firstTurnTokens;
         bool const isUrgent = priority == Priority::Urgent;
-        for (bool goesOn = true; goesOn && at < size.seconds;) {
+        for (bool hasNextTurn = true; hasNextTurn && at < size.seconds;) {
             TracedRequest request;
             request.at = at;
             request.chat = chat;
@@ -45,13 +45,13 @@
             request.priority = priority;
             request.entry = engine() % size.daemons;
             request.contextTokens = context;
-            request.newTokens = fresh;
+            request.newTokens = newTokens;
             request.answerTokens = isUrgent ? urgentAnswerTokens : 20 + static_cast<uint32_t>(exponential(engine, meanAnswerTokens - 20));
             trace.push_back(request);
-            context += fresh + request.answerTokens;
-            fresh = 20 + static_cast<uint32_t>(exponential(engine, meanNewTokens));
-            at += static_cast<double>(request.answerTokens) * secondsPerToken + exponential(engine, meanPause);
-            goesOn = std::uniform_real_distribution<double>()(engine) > 1 / meanTurns;
+            context += newTokens + request.answerTokens;
+            newTokens = 20 + static_cast<uint32_t>(exponential(engine, meanNewTokens));
+            at += static_cast<double>(request.answerTokens) * secondsPerToken + exponential(engine, meanPauseSeconds);
+            hasNextTurn = std::uniform_real_distribution<double>()(engine) > 1 / meanTurns;
         }
     }
 
@@ -62,8 +62,8 @@
     Engine engine(options.seed);
     std::vector<TracedRequest> trace;
     auto const newChatsPerSecond = size.requestsPerSecond / meanTurns;
-    // Chats that began before the trace does fill the fleet from its first second on.
-    for (double at = -meanTurns * meanPause; at < size.seconds; at += exponential(engine, 1 / newChatsPerSecond)) {
+    // Chats that start before the trace load the fleet from the first second on.
+    for (double at = -meanTurns * meanPauseSeconds; at < size.seconds; at += exponential(engine, 1 / newChatsPerSecond)) {
         auto const organisation = pickOrganisation(engine, size.organisations);
         auto const priority = std::uniform_real_distribution<double>()(engine) < urgentShare ? Priority::Urgent : Priority::Bulk;
         addChat(trace, engine, size, at, organisation, priority);
--- a/Meta/Measure/Placement/Workload.h
+++ b/Meta/Measure/Placement/Workload.h
@@ -6,7 +6,7 @@
 
 namespace Stagepost::Measure {
 
-// The size of what is measured: one user's fleet of today, or a region's share of the aim.
+// The size of the simulated fleet: one user's current fleet, or one region's share of the target fleet.
 struct FleetSize {
     char const* name { "today" };
     size_t halls { 3 };
@@ -15,11 +15,11 @@
     double requestsPerSecond { 8 };
     size_t organisations { 10 };
     double seconds { 600 };
-    size_t mostInFlight { 24 };
+    size_t maxInFlight { 24 };
     double margin { 0.1 };
 };
 
-// One request of the trace; the trace is the same for every policy.
+// One request of the trace. Every policy is given the same trace.
 struct TracedRequest {
     double at { 0 };
     uint64_t chat { 0 };
@@ -33,17 +33,17 @@
 
 struct WorkloadOptions {
     uint64_t seed { 1 };
-    // The first organisation sends this many times its usual rate in between.
+    // Factor by which the first organisation exceeds its usual rate of new chats from surgeFrom to surgeTo.
     double surge { 1 };
     double surgeFrom { 0 };
     double surgeTo { 0 };
 };
 
-// Chats of several turns with pauses between, of organisations of which a few
-// are large; one request in ten is urgent and short.
+// Generates chats of several turns with pauses in between. A few organisations send most of them, and one
+// chat in ten is urgent and has short answers.
 std::vector<TracedRequest> makeWorkload(FleetSize const&, WorkloadOptions const&);
 
-// The mean time that a request of the workload is in flight, in seconds.
+// The duration of a request per answer token and per prompt token that the engine has not cached.
 inline constexpr double secondsPerToken = 0.052;
 inline constexpr double prefillSecondsPerToken = 0.0001;
 
--- a/Meta/Measure/Placement/World.h
+++ b/Meta/Measure/Placement/World.h
@@ -14,12 +14,12 @@
     VMId id;
     size_t hall { 0 };
     bool isAlive { true };
-    // What this daemon believes to be there.
+    // The engines and daemons in this daemon's view, by index. The view may lag behind the fleet.
     std::vector<bool> seesEngine;
     std::vector<bool> seesDaemon;
 };
 
-// The engines, the daemons and the network between them, with their faults.
+// The state of the simulated fleet: its engines, its daemons and the network between them.
 struct World {
     World(FleetSize const&, uint64_t seed);
 
@@ -38,9 +38,9 @@
     std::vector<SimulatedEngine> engines;
     std::vector<SimulatedDaemon> daemons;
     std::optional<size_t> cutHall;
-    // How late the engines' own reports are, and which share of cache events is lost.
+    // The delay of the engines' reports in seconds and the share of cache events that are lost.
     double reportLag { 0.5 };
-    double lostEvents { 0 };
+    double eventLossRate { 0 };
 
 private:
     std::unordered_map<UpstreamId, size_t> m_engineIndex;
