--- a/Meta/experiment.py
+++ b/Meta/experiment.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Plays variants of the daemon on the same days and seeds and pairs their results.
+"""Runs variants of the daemon on the same days and seeds of the bench and compares them pairwise.
 
-A variant is a list of policies, as the daemon's flag --policies takes them. Each is played in
-a copy of the repository; results are kept in the output folder, so that a run that was broken
-off goes on where it stopped. Exit status: 0 where no variant broke a rule, 1 where one did, 2
-for bad arguments, 3 where the bench could not play a day.
+A variant is a list of policies in the syntax of the daemon's flag --policies. Each variant runs in
+its own copy of the repository. Results are saved in the output folder, and a restarted experiment
+runs only what is missing there. Exit status: 0 if no variant broke a rule, 1 if one did or the name
+of a variant is invalid, 2 for other bad arguments, 3 if the bench gave no result for a day.
 """
 
 import argparse
@@ -19,58 +19,58 @@
 import sys
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-# The price rows of the bench, by what they begin with.
+# A price row in the bench's output: its value and its name.
 PRICE = re.compile(r"^\s+-\s*(-?[\d.]+)\s+[\d.,-]+ (.+)$")
-PARTS = {"whole day": "whole_day", "worst windows": "worst_windows", "worst class": "worst_class", "worst zone": "worst_hall"}
+WORTH_COMPONENTS = {"whole day": "whole_day", "worst windows": "worst_windows", "worst class": "worst_class", "worst zone": "worst_hall"}
 
 
-def arguments():
+def parse_arguments():
     parser = argparse.ArgumentParser(prog="Meta/stagepost.sh experiment", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("bench", help="path of the users' bench")
-    parser.add_argument("--site", action="append", required=True, help="site file; may be given again")
-    parser.add_argument("--day", action="append", required=True, help="a day's name or a file with one; may be given again")
-    parser.add_argument("--seed", action="append", type=int, help="may be given again; without one, the day's own")
-    parser.add_argument("--variant", action="append", required=True, metavar="NAME[:POLICIES]", help="the first one is what the others are compared with")
-    parser.add_argument("--out", default="Run/experiment", help="folder for results")
-    parser.add_argument("--jobs", type=int, default=3, help="days at a time")
-    parser.add_argument("--why", default="experiment", help="a line for the journal")
+    parser.add_argument("--site", action="append", required=True, help="site file; repeatable")
+    parser.add_argument("--day", action="append", required=True, help="name or file of a day; repeatable")
+    parser.add_argument("--seed", action="append", type=int, help="random seed, by default the day's own; repeatable")
+    parser.add_argument("--variant", action="append", required=True, metavar="NAME[:POLICIES]", help="variant to run; repeatable, the first one is the baseline of the comparison")
+    parser.add_argument("--out", default="Run/experiment", help="output folder")
+    parser.add_argument("--jobs", type=int, default=3, help="number of days to run in parallel")
+    parser.add_argument("--why", default="experiment", help="reason to record in the journal")
     return parser.parse_args()
 
 
-def variants_of(texts):
+def parse_variants(texts):
     result = {}
     for text in texts:
         name, _, policies = text.partition(":")
         if not re.fullmatch(r"[a-z0-9-]+", name) or name in result:
-            sys.exit(f"variant '{text}': a name of small letters, digits and hyphens is wanted, each once")
+            sys.exit(f"variant '{text}': expected a unique name of lowercase letters, digits and hyphens")
         result[name] = policies
     return result
 
 
 def check_policies(variants):
-    """The daemon knows which policies there are."""
+    """Exits with status 2 if the daemon rejects the policies of a variant."""
     program = ROOT / "Build/platform/stagepostd-platform"
     base = ["--name", "e", "--hall", "h", "--listen", "127.0.0.1:0", "--ready-listen", "127.0.0.1:0", "--peer-listen", "127.0.0.1:0", "--store", "127.0.0.1:1"]
     for name, policies in variants.items():
-        # The wrong log level ends it once the policies have been read.
+        # The invalid log level makes the daemon exit after it has parsed the policies.
         checked = subprocess.run([program, *base, "--policies", policies, "--log-level", "none"], capture_output=True, text=True)
         if "policy '" in checked.stderr:
             print(f"variant '{name}': {checked.stderr.strip()}", file=sys.stderr)
             sys.exit(2)
 
 
-def make_copy(out, name, policies):
-    """A copy of the sources in which the deploy file names the policies."""
+def create_copy(out, name, policies):
+    """Copies the repository with its uncommitted changes and adds the policies to the deploy file."""
     copy = out / "copies" / name
     if copy.exists():
         return copy
     copy.parent.mkdir(parents=True, exist_ok=True)
     subprocess.run(["git", "clone", "-q", "--no-hardlinks", ROOT, copy], check=True)
-    changed = subprocess.run(["git", "diff", "HEAD", "--", ".", ":!journal"], cwd=ROOT, capture_output=True, check=True).stdout
-    if changed:
-        subprocess.run(["git", "apply", "-"], cwd=copy, input=changed, check=True)
-    added = subprocess.run(["git", "ls-files", "-o", "--exclude-standard", "--", ".", ":!journal"], cwd=ROOT, capture_output=True, text=True, check=True).stdout.split()
-    for path in added:
+    local_changes = subprocess.run(["git", "diff", "HEAD", "--", ".", ":!journal"], cwd=ROOT, capture_output=True, check=True).stdout
+    if local_changes:
+        subprocess.run(["git", "apply", "-"], cwd=copy, input=local_changes, check=True)
+    untracked = subprocess.run(["git", "ls-files", "-o", "--exclude-standard", "--", ".", ":!journal"], cwd=ROOT, capture_output=True, text=True, check=True).stdout.split()
+    for path in untracked:
         (copy / path).parent.mkdir(parents=True, exist_ok=True)
         shutil.copy(ROOT / path, copy / path)
     deploy = copy / "deploy/system.toml"
@@ -80,13 +80,13 @@
     return copy
 
 
-def read_result(text):
+def parse_result(text):
     day = re.search(r"^day .*\n(\S.*?)\s+\d+/\d+\s+[\d.]+\s+(-?[\d.]+)\s+([\d.]+)\s+([\d.]+)\s+([\d.]+)", text, re.M)
     if not day:
         return None
     result = {"worth": float(day[2]), "served": float(day[3]), "refused": float(day[4]), "failed": float(day[5])}
-    for words, name in PARTS.items():
-        part = re.search(rf"{words} ([\d.]+)", text.split("worth ", 2)[-1])
+    for label, name in WORTH_COMPONENTS.items():
+        part = re.search(rf"{label} ([\d.]+)", text.split("worth ", 2)[-1])
         result[name] = float(part[1]) if part else 0.0
     result["prices"] = {found[2]: float(found[1]) for line in text.splitlines() if (found := PRICE.match(line)) and float(found[1])}
     result["classes"] = {found[1]: float(found[2]) for found in re.finditer(r"^(\S+)\s+\d+\s+\d+\s+\d+\s+\d+\s+\d+\s+\d+\s+([\d.]+)\s+[\d.]+\s+[\d.]+$", text, re.M)}
@@ -99,40 +99,40 @@
     def __init__(self, options, variants):
         self.options, self.variants = options, variants
         self.out = pathlib.Path(options.out).resolve()
-        self.plays = [(site, day, seed) for site in options.site for day in options.day for seed in options.seed or [None]]
+        self.runs = [(site, day, seed) for site in options.site for day in options.day for seed in options.seed or [None]]
         self.results = {}
 
-    def key(self, variant, play):
-        site, day, seed = play
+    def key(self, variant, run):
+        site, day, seed = run
         return f"{variant}_{pathlib.Path(site).stem}_{pathlib.Path(day).stem}_{seed if seed is not None else 'own'}"
 
-    def play(self, variant, copy, play):
-        site, day, seed = play
-        output = self.out / (self.key(variant, play) + ".txt")
-        if not (output.exists() and read_result(output.read_text())):
+    def run_day(self, variant, copy, run):
+        site, day, seed = run
+        output = self.out / (self.key(variant, run) + ".txt")
+        if not (output.exists() and parse_result(output.read_text())):
             day = str(pathlib.Path(day).resolve()) if pathlib.Path(day).exists() else day
-            call = [self.options.bench, "run", str(pathlib.Path(site).resolve()), day, "--jobs", "1", "--why", f"{self.options.why} (trial), variant {variant}"]
-            call += ["--seed", str(seed)] if seed is not None else []
-            output.write_text(subprocess.run(call, cwd=copy, capture_output=True, text=True).stdout)
-        return read_result(output.read_text())
+            command = [self.options.bench, "run", str(pathlib.Path(site).resolve()), day, "--jobs", "1", "--why", f"{self.options.why} (trial), variant {variant}"]
+            command += ["--seed", str(seed)] if seed is not None else []
+            output.write_text(subprocess.run(command, cwd=copy, capture_output=True, text=True).stdout)
+        return parse_result(output.read_text())
 
     def run(self):
         self.out.mkdir(parents=True, exist_ok=True)
-        copies = {name: make_copy(self.out, name, policies) for name, policies in self.variants.items()}
+        copies = {name: create_copy(self.out, name, policies) for name, policies in self.variants.items()}
         for copy in copies.values():
             subprocess.run([self.options.bench, "build"], cwd=copy, capture_output=True)
-        jobs = [(variant, play) for play in self.plays for variant in self.variants]
+        jobs = [(variant, run) for run in self.runs for variant in self.variants]
         with concurrent.futures.ThreadPoolExecutor(self.options.jobs) as pool:
-            futures = {pool.submit(self.play, variant, copies[variant], play): (variant, play) for variant, play in jobs}
+            futures = {pool.submit(self.run_day, variant, copies[variant], run): (variant, run) for variant, run in jobs}
             for number, future in enumerate(concurrent.futures.as_completed(futures), 1):
-                variant, play = futures[future]
-                self.results[variant, play] = future.result()
+                variant, run = futures[future]
+                self.results[variant, run] = future.result()
                 result = future.result()
-                print(f"{number}/{len(jobs)} {self.key(variant, play)}: " + (f"worth {result['worth']:.3f} {result['broken']}" if result else "not played"), flush=True)
-        self.keep_journals(copies)
+                print(f"{number}/{len(jobs)} {self.key(variant, run)}: " + (f"worth {result['worth']:.3f} {result['broken']}" if result else "no result"), flush=True)
+        self.merge_journals(copies)
 
-    def keep_journals(self, copies):
-        """Trials' entries stay with the others."""
+    def merge_journals(self, copies):
+        """Copies the journal entries of the runs into the repository's journal."""
         for copy in copies.values():
             shutil.copytree(copy / "journal", ROOT / "journal", dirs_exist_ok=True)
 
@@ -140,12 +140,12 @@
         base = next(iter(self.variants))
         for site in self.options.site:
             for variant in self.variants:
-                pairs = [(self.results[base, play], self.results[variant, play]) for play in self.plays if play[0] == site]
+                pairs = [(self.results[base, run], self.results[variant, run]) for run in self.runs if run[0] == site]
                 yield self.row(site, variant, [pair for pair in pairs if all(pair)], len(pairs))
 
     def row(self, site, variant, pairs, count):
         row = {"site": pathlib.Path(site).stem, "variant": variant, "plays": f"{len(pairs)}/{count}"}
-        for name in ("worth", "served", "refused", "failed", *PARTS.values()):
+        for name in ("worth", "served", "refused", "failed", *WORTH_COMPONENTS.values()):
             differences = [new[name] - old[name] for old, new in pairs]
             row[name] = round(statistics.fmean([new[name] for _, new in pairs]), 4) if pairs else None
             row[name + "_difference"] = round(statistics.fmean(differences), 4) if pairs else None
@@ -174,16 +174,16 @@
         return rows
 
     def plot(self, rows):
-        """Differences of worth by site and variant, as bars with their spread."""
+        """Writes plot.svg: a bar per site and variant for the mean difference of worth, with its spread."""
         bars = [row for row in rows if row["worth_difference"] is not None]
-        most = max([abs(row["worth_difference"]) + row["worth_spread"] for row in bars] + [0.01])
+        largest = max([abs(row["worth_difference"]) + row["worth_spread"] for row in bars] + [0.01])
         height, left, half = 22, 420, 260
         parts = [f'<svg xmlns="http://www.w3.org/2000/svg" width="{left + 2 * half + 100}" height="{height * (len(bars) + 2)}" font-family="sans-serif" font-size="13">',
                  '<rect width="100%" height="100%" fill="white"/>', f'<text x="10" y="16">difference of worth from {bars[0]["variant"] if bars else ""}, mean and spread</text>']
         for number, row in enumerate(bars, 1):
             y, middle = height * (number + 0.2), left + half
-            length = row["worth_difference"] / most * half
-            spread = row["worth_spread"] / most * half
+            length = row["worth_difference"] / largest * half
+            spread = row["worth_spread"] / largest * half
             colour = "#b03030" if row["broken"] else "#3070b0"
             parts.append(f'<text x="10" y="{y + 13:.1f}">{row["site"]} / {row["variant"]} ({row["plays"]})</text>')
             parts.append(f'<rect x="{min(middle, middle + length):.1f}" y="{y:.1f}" width="{abs(length):.1f}" height="{height - 8}" fill="{colour}"/>')
@@ -194,8 +194,8 @@
 
 
 def main():
-    options = arguments()
-    variants = variants_of(options.variant)
+    options = parse_arguments()
+    variants = parse_variants(options.variant)
     check_policies(variants)
     experiment = Experiment(options, variants)
     experiment.run()
