--- a/Meta/Measure/MembershipMeasurement.cpp
+++ b/Meta/Measure/MembershipMeasurement.cpp
@@ -99,7 +99,7 @@
             return result;
         }
 
-        // Sets the settings revision at all members except one, which is disconnected off from the log.
+        // Sets the settings revision at all members except one, which is disconnected from the log.
         void publish(Revision revision, size_t disconnected)
         {
             for (size_t index = 0; index < m_members.size(); ++index) {
