--- a/Tests/StandIns/EngineStandIn.cpp
+++ b/Tests/StandIns/EngineStandIn.cpp
@@ -8,21 +8,21 @@
 
     using Json = nlohmann::json;
 
-    constexpr size_t mostEvents = 1000;
+    constexpr size_t maxEvents = 1000;
 
-    struct CountGuard {
-        explicit CountGuard(size_t& counter)
+    struct ScopedIncrement {
+        explicit ScopedIncrement(size_t& counter)
             : count(counter)
         {
             ++count;
         }
-        ~CountGuard() { --count; }
-        CountGuard(CountGuard const&) = delete;
-        CountGuard& operator=(CountGuard const&) = delete;
+        ~ScopedIncrement() { --count; }
+        ScopedIncrement(ScopedIncrement const&) = delete;
+        ScopedIncrement& operator=(ScopedIncrement const&) = delete;
         size_t& count;
     };
 
-    std::string eventOf(std::string const& chat, char const* kind)
+    std::string cacheEvent(std::string const& chat, char const* kind)
     {
         return Json { { "chat", chat }, { "kind", kind }, { "tokens", 100 } }.dump();
     }
@@ -35,24 +35,24 @@
 {
 }
 
-bool EngineStandIn::touch(std::string const& chat)
+bool EngineStandIn::touchContext(std::string const& chat)
 {
-    auto const found = m_contexts.find(chat);
-    bool const isHeld = found != m_contexts.end();
+    auto const found = m_recentChatPositions.find(chat);
+    bool const isHeld = found != m_recentChatPositions.end();
     if (isHeld)
-        m_recent.erase(found->second);
+        m_recentChats.erase(found->second);
     else
-        m_events.push_back(eventOf(chat, "stored"));
-    m_recent.push_front(chat);
-    m_contexts[chat] = m_recent.begin();
-    if (m_recent.size() > m_options.chats) {
-        m_events.push_back(eventOf(m_recent.back(), "evicted"));
-        m_contexts.erase(m_recent.back());
-        m_recent.pop_back();
+        m_events.push_back(cacheEvent(chat, "stored"));
+    m_recentChats.push_front(chat);
+    m_recentChatPositions[chat] = m_recentChats.begin();
+    if (m_recentChats.size() > m_options.maxChats) {
+        m_events.push_back(cacheEvent(m_recentChats.back(), "evicted"));
+        m_recentChatPositions.erase(m_recentChats.back());
+        m_recentChats.pop_back();
     }
-    while (m_events.size() > mostEvents) {
+    while (m_events.size() > maxEvents) {
         m_events.pop_front();
-        ++m_firstEvent;
+        ++m_firstEventIndex;
     }
     return isHeld;
 }
@@ -60,9 +60,9 @@
 std::string EngineStandIn::status(uint64_t eventsFrom) const
 {
     Json events = Json::array();
-    auto const next = m_firstEvent + m_events.size();
-    for (auto index = std::max(eventsFrom, m_firstEvent); index < next; ++index)
-        events.push_back(Json::parse(m_events[index - m_firstEvent]));
+    auto const next = m_firstEventIndex + m_events.size();
+    for (auto index = std::max(eventsFrom, m_firstEventIndex); index < next; ++index)
+        events.push_back(Json::parse(m_events[index - m_firstEventIndex]));
     return Json { { "in_flight", m_inFlight }, { "events_next", next }, { "events", std::move(events) } }.dump();
 }
 
@@ -72,7 +72,7 @@
         auto const json = Json::parse(request.body(), nullptr, false);
         auto const mode = json.is_object() ? json.value("mode", "") : "";
         m_cutAfter = mode == "cut" ? 3 : 0;
-        m_refuses = mode == "refuse";
+        m_refusesRequests = mode == "refuse";
         co_return co_await send(stream, jsonResponse(request, 200, "{}"));
     }
     if (request.target().starts_with("/v1/status"))
@@ -84,16 +84,16 @@
 
 Net::awaitable<bool> EngineStandIn::complete(TcpStream& stream, Request& request)
 {
-    if (m_refuses)
+    if (m_refusesRequests)
         co_return false;
     auto const body = Json::parse(request.body(), nullptr, false);
     if (!body.is_object())
         co_return co_await send(stream, jsonResponse(request, 400, "{}"));
-    CountGuard const inFlight(m_inFlight);
+    ScopedIncrement const inFlight(m_inFlight);
     ++m_served;
-    bool const isReused = touch(std::string(request["Stagepost-Chat"]));
-    m_reused += isReused;
-    co_return co_await this->stream(stream, request, body.value("max_tokens", m_options.tokens), isReused);
+    bool const isReused = touchContext(std::string(request["Stagepost-Chat"]));
+    m_reusedContexts += isReused;
+    co_return co_await this->stream(stream, request, body.value("max_tokens", m_options.defaultTokens), isReused);
 }
 
 Net::awaitable<bool> EngineStandIn::stream(TcpStream& stream, Request const& request, size_t tokens, bool isReused)
@@ -109,29 +109,29 @@
     head.keep_alive(true);
     head.chunked(true);
     Http::response_serializer<Http::empty_body> serializer(head);
-    auto [headFailure, headSize] = co_await Http::async_write_header(stream, serializer, useTuple);
-    if (headFailure)
+    auto [headError, headSize] = co_await Http::async_write_header(stream, serializer, useTuple);
+    if (headError)
         co_return false;
     Net::steady_timer timer(co_await Net::this_coro::executor);
-    auto due = std::chrono::steady_clock::now();
+    auto nextTokenAt = std::chrono::steady_clock::now();
     for (size_t index = 0; index < tokens; ++index) {
-        due += m_options.tokenInterval;
-        timer.expires_at(due);
+        nextTokenAt += m_options.tokenInterval;
+        timer.expires_at(nextTokenAt);
         if (m_options.tokenInterval.count())
             co_await timer.async_wait(useTuple);
         if (m_cutAfter && index >= m_cutAfter)
             co_return false;
         auto const event = "id: " + std::to_string(index) + "\ndata: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"word" + std::to_string(index) + " \"}}]}\n\n";
-        auto [failure, size] = co_await Net::async_write(stream, Http::make_chunk(Net::buffer(event)), useTuple);
-        if (failure) {
+        auto [error, size] = co_await Net::async_write(stream, Http::make_chunk(Net::buffer(event)), useTuple);
+        if (error) {
             ++m_cancelled;
             co_return false;
         }
     }
     constexpr std::string_view done = "data: [DONE]\n\n";
-    auto [doneFailure, doneSize] = co_await Net::async_write(stream, Http::make_chunk(Net::buffer(done)), useTuple);
-    auto [lastFailure, lastSize] = co_await Net::async_write(stream, Http::make_chunk_last(), useTuple);
-    co_return !doneFailure && !lastFailure;
+    auto [doneError, doneSize] = co_await Net::async_write(stream, Http::make_chunk(Net::buffer(done)), useTuple);
+    auto [lastChunkError, lastChunkSize] = co_await Net::async_write(stream, Http::make_chunk_last(), useTuple);
+    co_return !doneError && !lastChunkError;
 }
 
 }
--- a/Tests/StandIns/LogStandIn.cpp
+++ b/Tests/StandIns/LogStandIn.cpp
@@ -30,15 +30,15 @@
 {
     auto& stream = m_streams[name];
     stream.records.push_back(std::move(record));
-    while (stream.records.size() > m_faults.keep) {
+    while (stream.records.size() > m_faults.maxRecords) {
         stream.records.pop_front();
-        ++stream.first;
+        ++stream.firstOffset;
     }
     ++m_appends;
-    return stream.next() - 1;
+    return stream.nextOffset() - 1;
 }
 
-void LogStandIn::takeFaults(std::string const& body)
+void LogStandIn::applyFaults(std::string const& body)
 {
     auto const json = Json::parse(body, nullptr, false);
     if (!json.is_object())
@@ -46,22 +46,22 @@
     m_faults.isDown = json.value("down", m_faults.isDown);
     m_faults.losesReplies = json.value("lose_replies", m_faults.losesReplies);
     m_faults.delay = Milliseconds(json.value("delay_ms", m_faults.delay.count()));
-    m_faults.keep = json.value("keep", m_faults.keep);
+    m_faults.maxRecords = json.value("keep", m_faults.maxRecords);
     if (auto const lost = json.value("lose_last", size_t { 0 }))
-        loseLast(lost);
+        dropLastRecords(lost);
 }
 
-void LogStandIn::loseLast(size_t records)
+void LogStandIn::dropLastRecords(size_t records)
 {
     for (auto& [name, stream] : m_streams)
         stream.records.resize(stream.records.size() - std::min(stream.records.size(), records));
-    ++m_returns;
+    ++m_restores;
 }
 
 Net::awaitable<bool> LogStandIn::handle(TcpStream& stream, Request& request)
 {
     if (request.target() == "/faults") {
-        takeFaults(request.body());
+        applyFaults(request.body());
         co_return co_await send(stream, jsonResponse(request, 200, "{}"));
     }
     if (request.target() == "/appends")
@@ -87,26 +87,26 @@
     co_return co_await send(stream, jsonResponse(request, 200, "{\"offset\":" + std::to_string(offset) + '}'));
 }
 
-std::string LogStandIn::recordsFrom(std::string const& name, uint64_t from, uint64_t most)
+std::string LogStandIn::recordsFrom(std::string const& name, uint64_t from, uint64_t maxRecords)
 {
     auto const& log = m_streams[name];
     Json records = Json::array();
-    for (auto offset = std::max(from, log.first); offset < log.next() && records.size() < most; ++offset)
-        records.push_back({ { "offset", offset }, { "body", log.records[offset - log.first] } });
-    return Json { { "first", log.first }, { "next", log.next() }, { "records", std::move(records) }, { "returns", m_returns } }.dump();
+    for (auto offset = std::max(from, log.firstOffset); offset < log.nextOffset() && records.size() < maxRecords; ++offset)
+        records.push_back({ { "offset", offset }, { "body", log.records[offset - log.firstOffset] } });
+    return Json { { "first", log.firstOffset }, { "next", log.nextOffset() }, { "records", std::move(records) }, { "returns", m_restores } }.dump();
 }
 
 Net::awaitable<bool> LogStandIn::handleRead(TcpStream& stream, Request& request, std::string const& name)
 {
     auto const from = queryNumber(request, "from", 0);
-    auto const most = queryNumber(request, "max", 100);
-    auto const returns = m_returns;
+    auto const maxRecords = queryNumber(request, "max", 100);
+    auto const restores = m_restores;
     auto const end = std::chrono::steady_clock::now() + Milliseconds(queryNumber(request, "wait_ms", 0));
-    while (m_streams[name].next() <= from && std::chrono::steady_clock::now() < end && !m_faults.isDown && m_returns == returns)
+    while (m_streams[name].nextOffset() <= from && std::chrono::steady_clock::now() < end && !m_faults.isDown && m_restores == restores)
         co_await sleepFor(pollInterval);
     if (m_faults.isDown)
         co_return false;
-    co_return co_await send(stream, jsonResponse(request, 200, recordsFrom(name, from, most)));
+    co_return co_await send(stream, jsonResponse(request, 200, recordsFrom(name, from, maxRecords)));
 }
 
 }
--- a/Tests/StandIns/LogStandIn.h
+++ b/Tests/StandIns/LogStandIn.h
@@ -7,25 +7,26 @@
 
 namespace Stagepost::StandIns {
 
-// The platform's append-only log: streams of records with offsets, kept for a
-// limited number of records, with the faults that the real one has.
+// The platform's append-only log. Each stream keeps a limited number of its last records and
+// addresses them by offset. Tests can inject the faults of the real log.
 //   POST /v1/streams/NAME/records, GET /v1/streams/NAME/records?from=&max=&wait_ms=
-//   POST /faults {"down":bool,"lose_replies":bool,"delay_ms":N,"keep":N}
+//   POST /faults {"down":bool,"lose_replies":bool,"delay_ms":N,"keep":N,"lose_last":N}
+//   GET /appends                 the number of appends to all streams
 class LogStandIn {
 public:
     struct Faults {
-        // Answers nothing.
+        // Closes connections without a response.
         bool isDown { false };
-        // Appends, but closes the connection instead of answering.
+        // Appends the record, but closes the connection without a response.
         bool losesReplies { false };
-        // The time that an append takes to take effect, and its reply after that.
+        // The delay before an append takes effect; its response follows at once.
         Milliseconds delay { 0 };
-        // How many records of a stream are kept.
-        size_t keep { 100000 };
+        // The number of records that each stream retains.
+        size_t maxRecords { 100000 };
     };
 
-    // Comes back from a copy that lacks the last records of each stream.
-    void loseLast(size_t records);
+    // Simulates a restore from a backup that lacks the last records of each stream.
+    void dropLastRecords(size_t records);
 
     explicit LogStandIn(EventLoop&);
     Endpoint listen(Endpoint const& endpoint) { return m_server.listen(endpoint); }
@@ -37,21 +38,21 @@
 
 private:
     struct Stream {
-        uint64_t first { 0 };
+        uint64_t firstOffset { 0 };
         std::deque<std::string> records;
-        uint64_t next() const { return first + records.size(); }
+        uint64_t nextOffset() const { return firstOffset + records.size(); }
     };
 
     Net::awaitable<bool> handle(TcpStream&, Request&);
     Net::awaitable<bool> handleAppend(TcpStream&, Request&, std::string const& name);
     Net::awaitable<bool> handleRead(TcpStream&, Request&, std::string const& name);
-    std::string recordsFrom(std::string const& name, uint64_t from, uint64_t most);
-    void takeFaults(std::string const& body);
+    std::string recordsFrom(std::string const& name, uint64_t from, uint64_t maxRecords);
+    void applyFaults(std::string const& body);
 
     Faults m_faults;
     uint64_t m_appends { 0 };
     std::map<std::string, Stream> m_streams;
-    uint64_t m_returns { 0 };
+    uint64_t m_restores { 0 };
     StandInServer m_server;
 };
 
--- a/Tests/StandIns/ServiceStandIn.h
+++ b/Tests/StandIns/ServiceStandIn.h
@@ -6,22 +6,22 @@
 
 namespace Stagepost::StandIns {
 
-// A plain service. It counts how often each call ran, by its "X-Call" field, and
-// answers with the call's name and that count.
-//   GET /runs?...                the counts as JSON, at /runs
+// A plain service that counts the executions of each call, which its X-Call header names, and
+// responds with that name and count.
+//   GET /runs                    the counts as JSON
 //   POST /faults {"mode":"..."}  see Mode
 class ServiceStandIn {
 public:
     enum class Mode {
         Normal,
-        // Runs the call and closes the connection instead of answering.
-        DropAfterRun,
-        // Answers twice, the second time a little later.
-        SurplusAnswer,
-        // Never answers.
+        // Executes the call and closes the connection without a response.
+        DropAfterExecution,
+        // Sends a second, unsolicited response shortly after the first.
+        UnsolicitedResponse,
+        // Sends no response; the connection is closed after ten minutes.
         Hang,
-        // Answers half and closes.
-        HalfAnswer,
+        // Sends half of the announced body and closes the connection.
+        TruncatedResponse,
     };
 
     explicit ServiceStandIn(EventLoop&);
@@ -30,18 +30,18 @@
 
     void setMode(Mode mode) { m_mode = mode; }
     void setDelay(Milliseconds delay) { m_delay = delay; }
-    // Whether answers name the request, so that connections can be reused.
-    void setEchoes(bool echoes) { m_echoes = echoes; }
-    std::map<std::string, unsigned> const& runs() const { return m_runs; }
+    // Whether responses carry the X-Request-Id of their request, without which a connection is not reused.
+    void setEchoesRequestId(bool echoes) { m_echoesRequestId = echoes; }
+    std::map<std::string, unsigned> const& executions() const { return m_executions; }
 
 private:
     Net::awaitable<bool> handle(TcpStream&, Request&);
-    Net::awaitable<bool> run(TcpStream&, Request&);
+    Net::awaitable<bool> execute(TcpStream&, Request&);
 
     Mode m_mode { Mode::Normal };
     Milliseconds m_delay { 0 };
-    bool m_echoes { true };
-    std::map<std::string, unsigned> m_runs;
+    bool m_echoesRequestId { true };
+    std::map<std::string, unsigned> m_executions;
     StandInServer m_server;
 };
 
--- a/Tests/StandIns/StandInServer.cpp
+++ b/Tests/StandIns/StandInServer.cpp
@@ -7,9 +7,9 @@
 namespace Stagepost::StandIns {
 
 struct StandInServer::State : std::enable_shared_from_this<StandInServer::State> {
-    State(EventLoop& loop, Handler handle)
+    State(EventLoop& loop, Handler requestHandler)
         : context(loop.native().context)
-        , handler(std::move(handle))
+        , handler(std::move(requestHandler))
         , acceptor(context)
     {
     }
@@ -18,10 +18,10 @@
     {
         auto const self = shared_from_this();
         while (acceptor.is_open()) {
-            auto [failure, socket] = co_await acceptor.async_accept(useTuple);
-            if (failure)
+            auto [error, socket] = co_await acceptor.async_accept(useTuple);
+            if (error)
                 continue;
-            socket.set_option(Tcp::no_delay(true), failure);
+            socket.set_option(Tcp::no_delay(true), error);
             auto stream = std::make_shared<TcpStream>(std::move(socket));
             Net::co_spawn(
                 context, [self, stream] { return self->serve(*stream); }, Net::detached);
@@ -35,8 +35,8 @@
         while (true) {
             Http::request_parser<Http::string_body> parser;
             parser.body_limit(64u << 20);
-            auto [failure, size] = co_await Http::async_read(stream, buffer, parser, useTuple);
-            if (failure)
+            auto [error, size] = co_await Http::async_read(stream, buffer, parser, useTuple);
+            if (error)
                 break;
             auto request = parser.release();
             if (!co_await handler(stream, request))
@@ -66,10 +66,10 @@
     auto const native = toNativeEndpoint<Tcp>(endpoint);
     m_state->acceptor.open(native.protocol());
     m_state->acceptor.set_option(Net::socket_base::reuse_address(true));
-    NetError failure;
-    m_state->acceptor.bind(native, failure);
-    if (failure) {
-        std::cerr << "stand-in: " << endpoint.toString() << ": " << failure.message() << '\n';
+    NetError error;
+    m_state->acceptor.bind(native, error);
+    if (error) {
+        std::cerr << "stagepost-stand-in: cannot bind " << endpoint.toString() << ": " << error.message() << '\n';
         std::exit(1);
     }
     m_state->acceptor.listen();
@@ -99,8 +99,8 @@
 
 Net::awaitable<bool> send(TcpStream& stream, Response response)
 {
-    auto [failure, size] = co_await Http::async_write(stream, response, useTuple);
-    co_return !failure && response.keep_alive();
+    auto [error, size] = co_await Http::async_write(stream, response, useTuple);
+    co_return !error && response.keep_alive();
 }
 
 Net::awaitable<void> sleepFor(Milliseconds duration)
--- a/Tests/StandIns/StandInServer.h
+++ b/Tests/StandIns/StandInServer.h
@@ -9,8 +9,8 @@
 using Request = Http::request<Http::string_body>;
 using Response = Http::response<Http::string_body>;
 
-// A small HTTP server for stand-ins, whose handler writes to the connection
-// itself, so that it can misbehave in any way that a test needs.
+// A small HTTP server for stand-ins. The handler writes to the connection itself, so that it can
+// violate the protocol as a test requires.
 class StandInServer {
 public:
     // Returns whether the connection can carry another request.
@@ -21,9 +21,9 @@
     StandInServer(StandInServer const&) = delete;
     StandInServer& operator=(StandInServer const&) = delete;
 
-    // Takes a free port where the endpoint has none. A port that is taken ends the program.
+    // Binds an ephemeral port if the endpoint's port is 0. Exits the process if the address cannot be bound.
     Endpoint listen(Endpoint const&);
-    // Closes the listening socket; connections that are open stay.
+    // Closes the listening socket; open connections stay open.
     void stopListening();
 
 private:
@@ -35,7 +35,7 @@
 Net::awaitable<bool> send(TcpStream&, Response);
 Net::awaitable<void> sleepFor(Milliseconds);
 
-// The value of a query parameter, or a fallback.
+// The value of a numeric query parameter, or the fallback if it is absent or not a number.
 uint64_t queryNumber(Request const&, std::string_view name, uint64_t fallback);
 
 }
--- a/Tests/StandIns/VMListStandIn.cpp
+++ b/Tests/StandIns/VMListStandIn.cpp
@@ -17,24 +17,24 @@
 {
 }
 
-void VMListStandIn::put(std::string const& json)
+void VMListStandIn::updateVMs(std::string const& json)
 {
-    auto const lines = Json::parse(json, nullptr, false);
-    if (!lines.is_array())
+    auto const entries = Json::parse(json, nullptr, false);
+    if (!entries.is_array())
         return;
     ++m_version;
-    for (auto const& line : lines)
-        m_lines[line.value("name", "")] = { m_version, line.dump() };
+    for (auto const& entry : entries)
+        m_entries[entry.value("name", "")] = { m_version, entry.dump() };
 }
 
 std::string VMListStandIn::changesSince(uint64_t version) const
 {
-    Json lines = Json::array();
-    for (auto const& [name, line] : m_lines) {
-        if (line.version > version)
-            lines.push_back(Json::parse(line.json));
+    Json entries = Json::array();
+    for (auto const& [name, entry] : m_entries) {
+        if (entry.version > version)
+            entries.push_back(Json::parse(entry.json));
     }
-    return Json { { "version", m_version }, { "vms", std::move(lines) } }.dump();
+    return Json { { "version", m_version }, { "vms", std::move(entries) } }.dump();
 }
 
 Net::awaitable<bool> VMListStandIn::handle(TcpStream& stream, Request& request)
@@ -47,7 +47,7 @@
     if (m_isDown)
         co_return false;
     if (request.method() == Http::verb::post) {
-        put(request.body());
+        updateVMs(request.body());
         co_return co_await send(stream, jsonResponse(request, 200, "{}"));
     }
     auto const since = queryNumber(request, "since", 0);
--- a/Tests/StandIns/VMListStandIn.h
+++ b/Tests/StandIns/VMListStandIn.h
@@ -7,20 +7,20 @@
 namespace Stagepost::StandIns {
 
 // The platform's list of VMs.
-//   GET /v1/vms?since=&wait_ms=   what has changed since a version
-//   POST /v1/vms                  a JSON list of VMs to add or change, as the list gives them
+//   GET /v1/vms?since=&wait_ms=   the VMs that have changed since a version
+//   POST /v1/vms                  a JSON array of VMs to add or update, in the format of the response
 //   POST /faults {"down":bool}
 class VMListStandIn {
 public:
     explicit VMListStandIn(EventLoop&);
     Endpoint listen(Endpoint const& endpoint) { return m_server.listen(endpoint); }
 
-    // Takes a JSON list of VMs.
-    void put(std::string const& json);
+    // Adds or updates the VMs of a JSON array.
+    void updateVMs(std::string const& json);
     void setDown(bool isDown) { m_isDown = isDown; }
 
 private:
-    struct Line {
+    struct Entry {
         uint64_t version { 0 };
         std::string json;
     };
@@ -30,7 +30,7 @@
 
     bool m_isDown { false };
     uint64_t m_version { 0 };
-    std::map<std::string, Line> m_lines;
+    std::map<std::string, Entry> m_entries;
     StandInServer m_server;
 };
 
--- a/Tests/StandIns/main.cpp
+++ b/Tests/StandIns/main.cpp
@@ -37,19 +37,19 @@
     StandIns::ServiceStandIn service(loop);
     StandIns::LogStandIn log(loop);
     StandIns::VMListStandIn vmList(loop);
-    Endpoint bound;
+    Endpoint boundEndpoint;
     if (role == "engine")
-        bound = engine.listen(*endpoint);
+        boundEndpoint = engine.listen(*endpoint);
     else if (role == "service")
-        bound = service.listen(*endpoint);
+        boundEndpoint = service.listen(*endpoint);
     else if (role == "log")
-        bound = log.listen(*endpoint);
+        boundEndpoint = log.listen(*endpoint);
     else if (role == "vm-list")
-        bound = vmList.listen(*endpoint);
+        boundEndpoint = vmList.listen(*endpoint);
     else
         return usage();
-    // Whoever started it reads here which port it took.
-    std::cout << bound.toString() << std::endl;
+    // Reports the bound endpoint to the parent process.
+    std::cout << boundEndpoint.toString() << std::endl;
     loop.onSignals({ SIGTERM, SIGINT }, [&](int) { loop.stop(); });
     loop.run();
     return 0;
