--- a/Tests/Soak/faults.py
+++ b/Tests/Soak/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a soak, and when: a schedule that a seed decides."""
+"""The faults and planned changes of a soak, scheduled by a seed."""
 
 import heapq
 import random
@@ -7,15 +7,14 @@
 
 from world import FIRST_WITH_SUSPENSION, STOP_LIMIT
 
-# Between two storms: a daemon that was disturbed is in touch again after this.
+# Seconds after a fault within which a disturbed daemon is connected again.
 SETTLE = 3.0
-# Longer than what the daemons take for an outage of the store, their bound on
-# leaving upstreams.
-LAPSE = 2.0
+# Seconds. Exceeds the daemons' limit for leaving upstreams, after which they assume a store outage.
+EXPIRY_OUTAGE = 2.0
 
 
 class Disturbances:
-    """When anything unplanned was going on."""
+    """Records the time spans of unplanned faults."""
 
     def __init__(self):
         self.spans = []
@@ -24,21 +23,22 @@
         self.spans.append((name, start, end))
 
     def is_calm(self, start, end):
-        """Whether nothing unplanned happened from SETTLE before the start until the end."""
+        """Whether no fault was active between SETTLE seconds before the start and the end."""
         return all(first > end or last + SETTLE < start for _, first, last in self.spans)
 
 
-# From this seed on upstreams start again under their names and others write into their
-# list. Seeds below it play as they did when they were kept.
+# The lowest seeds whose schedules include each later kind of fault. Lower seeds keep the schedule
+# that they had when they were recorded.
+# Upstreams restart under their names, and invalid records are written to their topic.
 FIRST_WITH_RESTARTS = 1000
-# From this one on the store comes back from copies.
+# The store is restored from backups.
 FIRST_WITH_RETURNS = 3000
-# From this one on halls are emptied, upstreams are cold, ask for rest and say in answers that they leave.
+# Halls are emptied; upstreams are cold, request back-off and announce in responses that they leave.
 FIRST_WITH_ORDERS = 4000
 
 
 class Schedule:
-    """Carries out actions when they are due."""
+    """Runs actions at their scheduled times."""
 
     def __init__(self):
         self.actions = []
@@ -56,7 +56,7 @@
                 return
             time.sleep(0.01)
 
-    def run_out(self):
+    def run_remaining(self):
         while self.actions:
             self.run_until(self.actions[0][0])
 
@@ -66,22 +66,22 @@
         self.world, self.random = world, random.Random(seed)
         self.disturbances, self.note = disturbances, note
         self.schedule = Schedule()
-        # Draws of its own, so that what it adds changes nothing else of a seed.
+        # Separate random generators, so that added faults do not change the rest of a seed's schedule.
         self.restarts = random.Random(f"{seed} restarts") if seed >= FIRST_WITH_RESTARTS else None
         self.suspensions = random.Random(f"{seed} suspensions") if seed >= FIRST_WITH_SUSPENSION else None
         self.returns = random.Random(f"{seed} returns") if seed >= FIRST_WITH_RETURNS else None
         self.orders = random.Random(f"{seed} orders") if seed >= FIRST_WITH_ORDERS else None
         if self.returns:
             world.store.era = 1
-        self.unplanned = [self.pause, self.pause, self.kill, self.kill_all, self.cut_from_store, self.cut_from_peers, self.reset_callers,
-                          self.slow_link, self.store_outage, self.store_outage, self.store_forgets, self.lapse, self.fail_requests,
+        self.unplanned = [self.pause, self.pause, self.kill, self.kill_all, self.cut_from_store, self.impair_peer_link, self.reset_callers,
+                          self.slow_link, self.store_outage, self.store_outage, self.truncate_store_history, self.expire_records, self.fail_requests,
                           self.fail_requests, self.crash_upstream, self.cut_upstream]
-        self.planned = [self.roll, self.reload, self.configure, self.configure, self.configuration_storm, self.revoke, self.drain_upstream, self.scale_out]
+        self.planned = [self.stop_gracefully, self.reload, self.configure, self.configure, self.configuration_storm, self.rotate_key, self.drain_upstream, self.add_upstream_instance]
 
-    def storm(self, seconds):
+    def fault_phase(self, seconds):
         if self.restarts:
             for _ in range(int(2 * seconds)):
-                self.schedule.after(self.restarts.uniform(0, seconds), self.restarts.choice((self.restart_upstream, self.write_nonsense)))
+                self.schedule.after(self.restarts.uniform(0, seconds), self.restarts.choice((self.restart_upstream, self.write_invalid_record)))
         if self.suspensions:
             for _ in range(int(seconds)):
                 self.schedule.after(self.suspensions.uniform(0, seconds), self.suspend)
@@ -89,66 +89,66 @@
             for _ in range(2):
                 self.schedule.after(self.returns.uniform(0, seconds), self.copy_store)
         self.add_orders(seconds)
-        self.play(seconds, 0.25, self.unplanned * 2 + self.planned)
+        self.run_phase(seconds, 0.25, self.unplanned * 2 + self.planned)
 
-    def planned_work(self, seconds):
+    def planned_phase(self, seconds):
         self.add_orders(seconds)
-        self.play(seconds, 0.6, self.planned)
+        self.run_phase(seconds, 0.6, self.planned)
 
     def add_orders(self, seconds):
         if not self.orders:
             return
         self.schedule.after(self.orders.uniform(0, seconds / 2), self.empty_hall)
         for _ in range(int(seconds)):
-            self.schedule.after(self.orders.uniform(0, seconds), self.orders.choice((self.ask_for_rest, self.ask_for_rest, self.cool_upstream, self.say_leaving)))
+            self.schedule.after(self.orders.uniform(0, seconds), self.orders.choice((self.request_backoff, self.request_backoff, self.mark_upstream_cold, self.announce_departure)))
 
     def empty_hall(self):
         hall = self.orders.choice(("north", "south"))
         seconds = self.orders.uniform(0.5, 8.0)
         if self.world.emptied_halls():
             return
-        self.note(f"hall {hall} is emptied for {seconds:.2f} s")
+        self.note(f"empty hall {hall} for {seconds:.2f} s")
         self.world.store.put("keyed.op", f"evacuate/{hall}", {})
         self.world.orders.append([hall, time.monotonic(), None])
-        self.schedule.after(seconds, lambda: self.take_hall_back(hall))
+        self.schedule.after(seconds, lambda: self.withdraw_hall_order(hall))
 
-    def take_hall_back(self, hall):
+    def withdraw_hall_order(self, hall):
         order = next(each for each in self.world.orders if each[0] == hall and each[2] is None)
         order[2] = time.monotonic()
         self.world.store.put("keyed.op", f"evacuate/{hall}", None)
 
-    def ask_for_rest(self):
-        """It turns requests away, and asks each daemon for rest."""
+    def request_backoff(self):
+        """Makes an upstream refuse requests and ask each daemon to back off."""
         upstream = self.orders.choice(self.world.living())
         upstream.rest = round(self.orders.uniform(0.7, 4.0), 2)
         upstream.kind, upstream.share = "refuse", self.orders.uniform(0.2, 1)
         seconds = self.orders.uniform(0.2, 2.5)
-        self.note(f"{upstream.instance} asks for {upstream.rest} s of rest with {upstream.share:.2f}, for {seconds:.2f} s")
+        self.note(f"{upstream.instance} requests {upstream.rest} s of back-off in {upstream.share:.2f} of its responses, for {seconds:.2f} s")
         self.schedule.after(seconds, lambda: (setattr(upstream, "share", 0.0), setattr(upstream, "rest", None)))
 
-    def cool_upstream(self):
+    def mark_upstream_cold(self):
         upstream = self.orders.choice(self.world.living())
         milliseconds = self.orders.randrange(500, 3000)
         self.note(f"{upstream.instance} is cold for {milliseconds} ms")
         self.world.store.put("keyed.servers", upstream.instance, upstream.record(coldLeftMs=milliseconds, seq=milliseconds))
         self.schedule.after(milliseconds / 1000, lambda: upstream in self.world.living() and self.world.store.put("keyed.servers", upstream.instance, upstream.record()))
 
-    def say_leaving(self):
-        """Its answers alone say so, its record later or never."""
+    def announce_departure(self):
+        """Makes an upstream announce its departure in responses; its record is removed later, if at all."""
         service = self.orders.choice(("book", "chat"))
         if len(self.world.living(service)) < 4:
             return
         upstream = self.orders.choice(self.world.living(service))
-        self.note(f"{upstream.instance} says in its answers that it leaves")
+        self.note(f"{upstream.instance} announces in its responses that it leaves")
         upstream.says_leaving = True
-        self.schedule.after(self.orders.uniform(0.5, 4.0), lambda: self.leave(upstream))
+        self.schedule.after(self.orders.uniform(0.5, 4.0), lambda: self.remove_record(upstream))
 
-    def leave(self, upstream):
+    def remove_record(self, upstream):
         if upstream in self.world.living():
             self.world.left_at[upstream.instance] = time.monotonic()
             self.world.store.put("keyed.servers", upstream.instance, None)
 
-    def play(self, seconds, gap, choices):
+    def run_phase(self, seconds, gap, choices):
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.random.choice(choices)()
@@ -158,7 +158,7 @@
         return self.random.choice(self.world.daemons)
 
     def disturb(self, name, undo, shortest=0.1, longest=2.5):
-        """An unplanned fault that is undone after a while."""
+        """Records an unplanned fault and schedules its end."""
         seconds = self.random.uniform(shortest, longest)
         self.note(f"{name} for {seconds:.2f} s")
         start = time.monotonic()
@@ -171,11 +171,11 @@
         daemon = self.daemon()
         process = daemon.process
         daemon.signal(signal.SIGSTOP)
-        # The process that was stopped, and not one that came after it.
+        # Resumes only the process that was stopped, not its successor.
         self.disturb(f"pause {daemon.name}", lambda: process.poll() is None and process.send_signal(signal.SIGCONT), longest=4.0)
 
     def suspend(self):
-        """The daemon's VM stands still, its steady clock with it; now and then some at once."""
+        """Suspends a daemon's VM with its monotonic clock; sometimes those of half the daemons at once."""
         count = self.suspensions.choice((1, 1, 1, len(self.world.daemons) // 2))
         seconds = self.suspensions.uniform(0.2, 5.0)
         for daemon in self.suspensions.sample(self.world.daemons, count):
@@ -204,7 +204,7 @@
             if daemon.end(signal.SIGKILL):
                 self.disturb(f"kill {daemon.name} with all", daemon.start, longest=0.5)
 
-    def roll(self):
+    def stop_gracefully(self):
         daemon = self.daemon()
         if not daemon.end(signal.SIGTERM):
             return
@@ -215,8 +215,8 @@
         if process.poll() is not None:
             daemon.start()
         elif time.monotonic() > since + STOP_LIMIT + SETTLE:
-            self.note(f"{daemon.name} has not stopped in time")
-            self.disturbances.add("end what has not stopped", since, time.monotonic())
+            self.note(f"{daemon.name} has not stopped within the limit")
+            self.disturbances.add("kill a daemon that has not stopped", since, time.monotonic())
             process.send_signal(signal.SIGCONT)
             process.kill()
             self.schedule.after(0.1, lambda: self.await_stop(daemon, process, since))
@@ -240,13 +240,13 @@
             link.reset_connections()
         self.disturb(f"cut {daemon.name} from the store ({how})", link.heal, longest=5.0)
 
-    def cut_from_peers(self):
+    def impair_peer_link(self):
         daemon = self.daemon()
         if self.random.random() < 0.5:
             daemon.to_peers.cut()
         else:
             daemon.to_peers.loss, daemon.to_peers.delay = self.random.uniform(0, 0.5), self.random.uniform(0, 1.5)
-        self.disturb(f"harm what peers send to {daemon.name}", daemon.to_peers.heal)
+        self.disturb(f"impair the peer link of {daemon.name}", daemon.to_peers.heal)
 
     def reset_callers(self):
         daemon = self.daemon()
@@ -275,30 +275,30 @@
             self.world.store.mode = "up"
             self.world.store.changed.notify_all()
 
-    def store_forgets(self):
+    def truncate_store_history(self):
         self.world.store.forget_history()
-        self.disturb("store forgets its history", lambda: None, longest=0.2)
+        self.disturb("store truncates its history", lambda: None, longest=0.2)
 
     def copy_store(self):
         copied_at, copy = time.monotonic(), self.world.store.copy()
-        self.schedule.after(self.returns.uniform(0.1, 4.0), lambda: self.lose_since(copied_at, copy))
+        self.schedule.after(self.returns.uniform(0.1, 4.0), lambda: self.restore_from_copy(copied_at, copy))
 
-    def lose_since(self, copied_at, copy):
-        """The store is away for a moment and lacks what was written since the copy."""
+    def restore_from_copy(self, copied_at, copy):
+        """Takes the store down briefly and restores it without the writes since the copy."""
         self.world.store.mode = "busy"
         away, missing = self.returns.uniform(0.05, 0.8), self.returns.uniform(0.05, 1.5)
-        self.schedule.after(away, lambda: self.return_store(copied_at, copy))
-        self.schedule.after(away + missing, lambda: self.write_again(copied_at))
-        self.note(f"store comes back from a copy {time.monotonic() - copied_at:.2f} s old, written again after {missing:.2f} s")
+        self.schedule.after(away, lambda: self.finish_restore(copied_at, copy))
+        self.schedule.after(away + missing, lambda: self.rewrite_lost_entries(copied_at))
+        self.note(f"store restored from a copy {time.monotonic() - copied_at:.2f} s old, lost entries rewritten after {missing:.2f} s")
         start = time.monotonic()
-        self.disturbances.add("store comes back from a copy", start, start + away + missing + 0.5)
+        self.disturbances.add("store restored from a copy", start, start + away + missing + 0.5)
 
-    def return_store(self, copied_at, copy):
+    def finish_restore(self, copied_at, copy):
         self.world.store.return_to(copy)
-        self.world.lost_since(copied_at)
+        self.world.record_lost_revocations(copied_at)
         self.restore()
 
-    def write_again(self, copied_at):
+    def rewrite_lost_entries(self, copied_at):
         self.world.publish_again()
         for upstream in self.world.upstreams:
             left_at = self.world.left_at.get(upstream.instance)
@@ -307,16 +307,16 @@
             elif left_at is None or left_at > copied_at:
                 self.world.store.put("keyed.servers", upstream.instance, None)
 
-    def lapse(self):
-        """The store is away so long that upstreams' records go; they are back soon after its return."""
+    def expire_records(self):
+        """Takes the store down until upstreams' records expire; they are written again soon after its return."""
         upstreams = self.random.sample(self.world.living(), 3)
         self.world.store.mode = "busy"
         for upstream in upstreams:
             self.world.store.put("keyed.servers", upstream.instance, None)
-        self.schedule.after(LAPSE, self.restore)
-        self.disturb("store busy, records lapse", lambda: self.record_again(upstreams), LAPSE + 0.2, LAPSE + 1.0)
+        self.schedule.after(EXPIRY_OUTAGE, self.restore)
+        self.disturb("store busy, records expire", lambda: self.rewrite_records(upstreams), EXPIRY_OUTAGE + 0.2, EXPIRY_OUTAGE + 1.0)
 
-    def record_again(self, upstreams):
+    def rewrite_records(self, upstreams):
         for upstream in upstreams:
             if upstream in self.world.living():
                 self.world.store.put("keyed.servers", upstream.instance, upstream.record())
@@ -339,38 +339,38 @@
         self.disturb(f"crash {upstream.instance}", lambda: self.world.store.put("keyed.servers", upstream.instance, None), 0.5, 2.0)
 
     def restart_upstream(self):
-        """It crashes and is back under its name, and says so within a second; a late word
-        of the process before may come after that."""
+        """Restarts an upstream under its name. Its new record is written within a second; a late record
+        of the previous process may follow."""
         upstream = self.restarts.choice(self.world.living())
         before = upstream.record(state=self.restarts.choice(("ready", "draining")))
         upstream.restart()
         seconds = self.restarts.uniform(0.0, 1.0)
-        self.note(f"{upstream.instance} starts again, says so after {seconds:.2f} s")
+        self.note(f"{upstream.instance} restarts, writes its record after {seconds:.2f} s")
         start = time.monotonic()
         self.disturbances.add(f"restart {upstream.instance}", start, start + seconds + 0.5)
-        self.schedule.after(seconds, lambda: self.tell_start(upstream))
+        self.schedule.after(seconds, lambda: self.write_current_record(upstream))
         if self.restarts.random() < 0.3:
-            self.schedule.after(seconds + 0.2, lambda: self.tell_late(upstream, before))
+            self.schedule.after(seconds + 0.2, lambda: self.write_late_record(upstream, before))
 
-    def tell_start(self, upstream):
+    def write_current_record(self, upstream):
         if upstream in self.world.living():
             self.world.store.put("keyed.servers", upstream.instance, upstream.record())
 
-    def tell_late(self, upstream, before):
-        """As the store does: the record of the process that lives comes again."""
+    def write_late_record(self, upstream, before):
+        """Writes a late record of the previous process, then the current record again, like the store."""
         if upstream in self.world.living():
             self.world.store.put("keyed.servers", upstream.instance, before)
-            self.schedule.after(0.5, lambda: self.tell_start(upstream))
+            self.schedule.after(0.5, lambda: self.write_current_record(upstream))
 
-    def write_nonsense(self):
-        self.note("another writer in the list of upstreams")
-        nonsense = self.restarts.choice((b"{", b"\xff", b"[" * 2000, b"7", b'{"service":"book","address":7}', b'{"service":"book","slots":"8","state":"ready"}'))
-        self.world.store.put_raw("keyed.servers", f"other-{self.restarts.randrange(5)}", nonsense)
+    def write_invalid_record(self):
+        self.note("write an invalid upstream record")
+        invalid_record = self.restarts.choice((b"{", b"\xff", b"[" * 2000, b"7", b'{"service":"book","address":7}', b'{"service":"book","slots":"8","state":"ready"}'))
+        self.world.store.put_raw("keyed.servers", f"other-{self.restarts.randrange(5)}", invalid_record)
 
-    def scale_out(self):
+    def add_upstream_instance(self):
         service = self.random.choice(("book", "chat"))
         if len(self.world.living(service)) < 5:
-            self.note(f"one {service} more")
+            self.note(f"add an upstream of {service}")
             self.world.add_upstream(service)
 
     def drain_upstream(self):
@@ -379,10 +379,10 @@
             return
         upstream = self.random.choice(self.world.living(service))
         self.note(f"{upstream.instance} leaves")
-        says = self.random.random() < 0.7
-        self.world.store.put("keyed.servers", upstream.instance, upstream.record(state="draining") if says else None)
+        announces = self.random.random() < 0.7
+        self.world.store.put("keyed.servers", upstream.instance, upstream.record(state="draining") if announces else None)
         self.world.left_at[upstream.instance] = time.monotonic()
-        if says:
+        if announces:
             self.schedule.after(4, lambda: self.world.store.put("keyed.servers", upstream.instance, None))
 
     # The configuration.
@@ -396,6 +396,6 @@
         for step in range(8):
             self.schedule.after(0.2 * step, self.world.publish)
 
-    def revoke(self):
-        self.note("take a key away")
+    def rotate_key(self):
+        self.note("rotate the API key")
         self.world.change_keys()
--- a/Tests/Soak/links.py
+++ b/Tests/Soak/links.py
@@ -1,7 +1,7 @@
-"""Links on loopback that delay, hold, lose and reset what passes through them.
+"""Loopback proxies that delay, block, drop or reset the traffic that they forward.
 
-All links run in one thread of their own. Their attributes may be changed from any
-thread and hold from then on.
+All links run in a dedicated thread. Their attributes may be set from any thread and take effect
+at once.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 
 class Network:
-    """The thread that carries all links."""
+    """The event loop thread that runs all links."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
@@ -29,8 +29,8 @@
 
 
 class TcpLink:
-    """Carries connections to an endpoint. What a closed direction holds up is
-    passed on when it opens again, as after a partition."""
+    """Forwards TCP connections to an endpoint. Data in a closed direction is held back and forwarded
+    when the direction reopens, as after a network partition."""
 
     def __init__(self, network, target, port=0):
         self.network = network
@@ -61,27 +61,27 @@
             return
         host, port = self.target.rsplit(":", 1)
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             reset(writer.transport)
             return
-        ends = {writer.transport, far_writer.transport}
+        ends = {writer.transport, target_writer.transport}
         self.transports |= ends
         try:
-            await asyncio.gather(self.pump(reader, far_writer, "is_forward_open"), self.pump(far_reader, writer, "is_backward_open"))
+            await asyncio.gather(self.pump(reader, target_writer, "is_forward_open"), self.pump(target_reader, writer, "is_backward_open"))
         except OSError:
             for transport in ends:
                 reset(transport)
         finally:
             self.transports -= ends
             writer.close()
-            far_writer.close()
+            target_writer.close()
 
-    async def pump(self, reader, writer, gate):
+    async def pump(self, reader, writer, direction_flag):
         while data := await reader.read(65536):
             if self.delay:
                 await asyncio.sleep(self.delay)
-            while not getattr(self, gate):
+            while not getattr(self, direction_flag):
                 await asyncio.sleep(0.02)
             writer.write(data)
             await writer.drain()
@@ -97,8 +97,7 @@
 
 
 class PeerLink(asyncio.DatagramProtocol):
-    """Carries what other daemons send to one daemon: datagrams, and connections at
-    the same port."""
+    """Forwards datagrams and TCP connections from other daemons to one daemon, on the same port."""
 
     def __init__(self, network, target):
         self.network = network
--- a/Tests/Soak/soak.py
+++ b/Tests/Soak/soak.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""Runs real daemons on loopback for a while, harms them from outside by a schedule
-that a seed decides, and checks the promises that callers and upstreams can see."""
+"""Runs real daemons on loopback, injects faults by a schedule derived from a seed, and checks the
+invariants that callers and upstreams can observe."""
 
 import argparse
 import collections
@@ -13,7 +13,7 @@
 import traceback
 
 from faults import SETTLE, Disturbances, Faults
-from promises import Judge, recovers
+from promises import InvariantChecker, check_recovery
 from world import World
 
 
@@ -32,17 +32,17 @@
     def run(self, seconds):
         self.disturbances.add("start", self.begin, time.monotonic())
         self.world.start_callers()
-        broken = recovers(self.world)
+        broken = check_recovery(self.world)
         while time.monotonic() < self.begin + seconds:
-            self.faults.storm(6)
-            self.faults.schedule.run_out()
+            self.faults.fault_phase(6)
+            self.faults.schedule.run_remaining()
             self.faults.schedule.run_until(time.monotonic() + SETTLE)
-            self.faults.planned_work(5)
-            self.faults.schedule.run_out()
-            broken += [f"died: {daemon.name} ended by itself" for daemon in self.world.daemons if daemon.has_died()]
-        broken += recovers(self.world)
+            self.faults.planned_phase(5)
+            self.faults.schedule.run_remaining()
+            broken += [f"died: {daemon.name} exited unexpectedly" for daemon in self.world.daemons if daemon.has_died()]
+        broken += check_recovery(self.world)
         self.world.stop()
-        return broken + Judge(self.world, self.disturbances).judge()
+        return broken + InvariantChecker(self.world, self.disturbances).check()
 
     def summary(self):
         outcomes = collections.Counter(str(attempt.status or attempt.outcome) for attempt in self.world.attempts)
@@ -51,9 +51,9 @@
         return f"{len(self.world.attempts)} requests ({calm} in calm), {faults} faults and changes, outcomes {dict(sorted(outcomes.items()))}"
 
 
-def end_when_stuck(soak, limit):
-    """A soak that does not end tells where it stands, and leaves no process behind."""
-    print(f"stuck: not over after {limit} s", flush=True)
+def abort_on_timeout(soak, limit):
+    """Prints the stacks of all threads of a soak that exceeds its time limit, kills the daemons and exits."""
+    print(f"soak timed out after {limit} s", flush=True)
     frames = sys._current_frames()
     for thread in (threading.main_thread(), soak.world.network.thread, *soak.world.threads):
         print(f"{thread.name}:", *traceback.format_stack(frames.get(thread.ident))[-4:], sep="\n")
@@ -65,26 +65,26 @@
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seed", type=int, default=int(time.time()), help="decides the faults (default: a fresh one)")
-    parser.add_argument("--seconds", type=float, default=30, help="how long faults go on at least")
-    parser.add_argument("--seeds-file", help="seeds to run besides, one a line with a word on its cause")
+    parser.add_argument("--seed", type=int, default=int(time.time()), help="seed of the fault schedule (default: the current time)")
+    parser.add_argument("--seconds", type=float, default=30, help="minimum duration of the fault schedule")
+    parser.add_argument("--seeds-file", help="file of additional seeds to run, one per line followed by the cause")
     parser.add_argument("--daemons", type=int, default=4)
-    parser.add_argument("--directory", help="where logs go (default: a new one, kept where a promise was broken)")
+    parser.add_argument("--directory", help="log directory (default: a temporary one, kept if an invariant was violated)")
     options = parser.parse_args()
     seeds = [options.seed]
     if options.seeds_file:
         with open(options.seeds_file, encoding="utf-8") as lines:
             seeds += [int(line.split()[0]) for line in lines if line.strip() and not line.startswith("#")]
-    return 1 if any([play(seed, options) for seed in seeds]) else 0
+    return 1 if any([run_seed(seed, options) for seed in seeds]) else 0
 
 
-def play(seed, options):
-    """Whether a promise was broken."""
+def run_seed(seed, options):
+    """Runs one seed. Returns whether an invariant was violated."""
     directory = options.directory or tempfile.mkdtemp(prefix=f"stagepost-soak-{seed}-")
     os.makedirs(directory, exist_ok=True)
     soak = Soak(seed, directory, options.daemons)
     limit = 60 + 2 * options.seconds
-    watchdog = threading.Timer(limit, end_when_stuck, (soak, limit))
+    watchdog = threading.Timer(limit, abort_on_timeout, (soak, limit))
     watchdog.daemon = True
     watchdog.start()
     broken = soak.run(options.seconds)
--- a/Tests/Soak/world.py
+++ b/Tests/Soak/world.py
@@ -1,4 +1,4 @@
-"""The processes and stand-ins of a soak, and the callers that use them."""
+"""The daemons, stand-ins and callers of a soak."""
 
 import dataclasses
 import http.client
@@ -21,25 +21,25 @@
 from links import Network, PeerLink, TcpLink  # noqa: E402
 
 PROGRAM = f"{BUILD}/platform/stagepostd-platform"
-# The bounds that the daemons are started with, in seconds.
+# Time limits that the daemons are started with, in seconds.
 KEY_BOUND = 3.0
 LEAVE_BOUND = 1.5
 EMPTY_BOUND = 2.0
 STOP_LIMIT = 6.0
-# From this seed on daemons' VMs are suspended as well.
+# The lowest seed whose schedule includes suspensions of daemons' VMs.
 FIRST_WITH_SUSPENSION = 2000
 TIMEOUT = 2.0
 EVENTS = 12
 
 
 class SoakUpstream(Upstream):
-    """An upstream behind a link that fails a share of its requests and can crash."""
+    """An upstream behind a link. It can fail a fraction of its requests, crash and restart."""
 
     def __init__(self, network, instance, service, hall):
         self.kind, self.share = None, 0.0
         self.random = random.Random(instance)
         self.connections = []
-        # When its process started; none is told until it starts again.
+        # Start time of its process in ms, or None before the first restart, when its record omits it.
         self.born = None
         super().__init__(instance, service, hall)
         self.events, self.event_pause, self.stop_after = EVENTS, 0.02, 4
@@ -76,14 +76,14 @@
             try:
                 connection.shutdown(socket.SHUT_RDWR)
             except OSError:
-                pass  # it has ended already
+                pass  # already closed
         self.link.reset_connections()
 
 
 class Ports:
-    """Ports that no outgoing connection can have taken while a daemon is away:
-    those below the kernel's range for these. Runs beside one another, of one seed
-    too, begin at different ones."""
+    """Allocates ports below the kernel's ephemeral range, so that no outgoing connection takes a
+    daemon's port while the daemon is down. Concurrent runs, also of the same seed, start at
+    different ports."""
 
     FIRST, LAST, STEP = 10240, 32000, 40
 
@@ -97,11 +97,11 @@
                 with socket.create_server(("127.0.0.1", self.next)):
                     return f"127.0.0.1:{self.next}"
             except OSError:
-                pass  # somebody has it
+                pass  # in use
 
 
 class Daemon:
-    """One daemon's place: its ports and links stay, its processes come and go."""
+    """One daemon. Its ports and links persist across restarts of its process."""
 
     def __init__(self, world, number):
         self.world, self.name = world, f"entry-{number}"
@@ -132,7 +132,7 @@
             self.process.send_signal(number)
 
     def end(self, number):
-        """Whether the process was still there to be ended."""
+        """Signals the process to end. Returns False if it has already ended or was told to."""
         if self.process.poll() is not None or not self.is_expected:
             return False
         self.is_expected = False
@@ -152,7 +152,8 @@
         self.log.close()
 
     def check_readiness(self):
-        """What the platform's balancer does: two misses in a row take it out."""
+        """Probes readiness like the platform's load balancer, which removes a daemon after two
+        consecutive failures."""
         try:
             host, port = self.ready.rsplit(":", 1)
             connection = http.client.HTTPConnection(host, int(port), timeout=0.5)
@@ -166,7 +167,7 @@
 
 @dataclasses.dataclass
 class Attempt:
-    """One request as its caller saw it."""
+    """One request as observed by its caller."""
 
     id: str
     kind: str
@@ -177,15 +178,14 @@
     sent_at: float
     ended_at: float = 0.0
     status: int = 0
-    # "whole", "cut" (an answer that ended early), "none" (no answer), "late" or
-    # "unconnected"
+    # "whole", "cut" (truncated response), "none" (no response), "late" (timeout) or "unconnected".
     outcome: str = "none"
     body: str = ""
     headers: dict = dataclasses.field(default_factory=dict)
 
 
 class Caller:
-    """Sends one request after the other and keeps its connection while it can."""
+    """Sends requests sequentially and reuses its connection where possible."""
 
     PATHS = {"safe": "/lookup/", "unsafe": "/confirm/", "resumable": "/stream/again/", "once": "/stream/once/", "mark": "/mark/"}
 
@@ -246,7 +246,7 @@
         except TimeoutError:
             attempt.outcome = "late"
         except (OSError, http.client.HTTPException):
-            pass  # the outcome says how far it came
+            pass  # the outcome already records how far the exchange got
 
 
 class World:
@@ -262,16 +262,16 @@
         self.upstreams = []
         self.version, self.marks = 0, []
         self.keys = ["key-0"]
-        # When the store accepted a configuration with the key, and one without it.
+        # By key: when the store accepted a configuration with the key, and one without it.
         self.added_at = {"key-0": time.monotonic()}
         self.revoked_at = {}
-        # Of keys whose taking away the store has lost: from when until when it was written again.
+        # By key whose revocation the store has lost: the times of the loss and of the next write.
         self.lost_revocations = {}
-        # By version: when it was sent, and accepted.
+        # By version: when it was sent and when it was accepted.
         self.accepted = {}
-        # When the store accepted that an upstream leaves.
+        # By upstream: when the store accepted that it leaves.
         self.left_at = {}
-        # Halls that operators empty: which, since when, and when it was taken back.
+        # Orders to empty a hall: the hall, when the order was given and when it was withdrawn, if it was.
         self.orders = []
         self.lock = threading.Lock()
         self.publish()
@@ -291,7 +291,7 @@
             time.sleep(0.2)
 
     def keys_to_try(self):
-        """Mostly keys that hold, now and then one that was taken away."""
+        """Mostly valid keys, and the key that was revoked last."""
         return self.keys * 4 + list(self.revoked_at)[-1:]
 
     def publish(self):
@@ -314,14 +314,14 @@
                 "limits": {"maxHeaderBytes": 8192, "maxBodyBytes": 100000, "headerTimeoutMs": 1000, "idleTimeoutMs": 5000},
                 "tenants": [{"name": "club", "apiKeys": list(self.keys), "priority": 3}]}
 
-    def lost_since(self, copied_at):
+    def record_lost_revocations(self, copied_at):
         now = time.monotonic()
         for key, revoked_at in self.revoked_at.items():
             if revoked_at > copied_at:
                 self.lost_revocations[key] = (now, float("inf"))
 
     def publish_again(self):
-        """What the store has lost, under the version that it had."""
+        """Publishes the configuration that the store has lost again, under the same version."""
         with self.lock:
             self.store.put("keyed.op", "config", self.manifest())
             now = time.monotonic()
