--- a/Tests/LoadPatterns/Patterns.cpp
+++ b/Tests/LoadPatterns/Patterns.cpp
@@ -4,19 +4,19 @@
 
 namespace Stagepost::LoadPatterns {
 
-StreamPattern largeFleet()
+LoadPattern largeFleet()
 {
-    StreamPattern pattern;
+    LoadPattern pattern;
     pattern.kinds = { { 0.23, 287, 1.1, 10500 }, { 0.41, 513, 0.95, 700 }, { 0.36, 991, 0.12, 2000 } };
-    // As TestMembership finds them for a fleet of this size.
+    // The values that TestMembership finds for a fleet of this size.
     pattern.countsInterval = Milliseconds(700);
     pattern.countsAge = Milliseconds(920);
     return pattern;
 }
 
-StreamPattern smallFleet()
+LoadPattern smallFleet()
 {
-    StreamPattern pattern;
+    LoadPattern pattern;
     pattern.daemons = 6;
     pattern.upstreams = 9;
     pattern.requestsPerSecond = 46;
@@ -26,24 +26,24 @@
     return pattern;
 }
 
-StreamPattern startOfALargeFleet()
+LoadPattern largeFleetAtStart()
 {
     auto pattern = largeFleet();
     pattern.kinds = { { 0.23, 287, 1.1, 10500, 1.2, 1, 1300 }, { 0.41, 513, 0.95, 700, 0.6, 0, 130 }, { 0.36, 991, 0.05, 2000, 0.8, 2, 360 } };
     pattern.seconds = 9;
-    pattern.runsBeforeTraffic = true;
-    pattern.clumpShare = 12;
-    pattern.readsLikeEngines = true;
+    pattern.startsBeforeTraffic = true;
+    pattern.batchPercent = 12;
+    pattern.modelsPrefill = true;
     pattern.asksOwners = true;
     return pattern;
 }
 
-void play(StreamPattern const& pattern, std::string const& name, size_t fromSecond, double tolerable, uint64_t seeds)
+void checkBound(LoadPattern const& pattern, std::string const& name, size_t fromSecond, double limit, uint64_t seeds)
 {
     for (uint64_t seed = 1; seed <= seeds; ++seed) {
-        auto const outcome = StreamFleet(pattern, {}, seed).play();
+        auto const outcome = FleetSimulation(pattern, {}, seed).simulate();
         BOOST_TEST_MESSAGE(name << ", seed " << seed << ": beyond the bound " << outcome.worstBeyondBound(fromSecond) << " in the worst five seconds, reused " << outcome.reusedShare(fromSecond));
-        BOOST_TEST(outcome.worstBeyondBound(fromSecond) < tolerable);
+        BOOST_TEST(outcome.worstBeyondBound(fromSecond) < limit);
     }
 }
 
--- a/Tests/LoadPatterns/Patterns.h
+++ b/Tests/LoadPatterns/Patterns.h
@@ -1,30 +1,31 @@
 #pragma once
 
-#include <LoadPatterns/StreamFleet.h>
+#include <LoadPatterns/FleetSimulation.h>
 #include <string>
 
 namespace Stagepost::LoadPatterns {
 
-// What the users allow of any five seconds, where it is more than a few requests.
-constexpr double allowedBeyondBound = 0.03;
-// In a calm time a third of that is left to what the pattern does not show.
-constexpr double tolerableInCalm = 0.02;
-// Half of it where traffic begins, of which the pattern shows less than there is.
-constexpr double tolerableAtStart = 0.015;
+// The fraction of requests beyond the bound that the users allow in any five seconds, unless these
+// are only a few requests.
+constexpr double maxBeyondBound = 0.03;
+// In steady state a third of the allowance is reserved for effects that the simulation lacks.
+constexpr double maxBeyondBoundInCalm = 0.02;
+// At the start of traffic, where the simulation underestimates the load peaks, half is reserved.
+constexpr double maxBeyondBoundAtStart = 0.015;
 
-// Of 295 daemons each sends some two requests a second, and nearly all of an
-// upstream's load is known a second or two late, while an answer takes less.
-StreamPattern largeFleet();
+// 295 daemons that send about two requests per second each. Nearly all of an upstream's load comes
+// from other daemons and is known one or two seconds late, which is longer than an answer takes.
+LoadPattern largeFleet();
 
-// Six daemons whose counts are half a second old.
-StreamPattern smallFleet();
+// Six daemons with counts that are half a second old.
+LoadPattern smallFleet();
 
-// The first seconds of a large fleet: nobody has read anything yet, engines that read
-// hold up their streams, and requests come in clumps.
-StreamPattern startOfALargeFleet();
+// The first seconds of a large fleet: no context has been prefilled, prefill slows down the
+// engines' streams, and requests arrive in batches.
+LoadPattern largeFleetAtStart();
 
-// Plays the pattern with some seeds, and holds the worst five seconds of each to what is
-// tolerable.
-void play(StreamPattern const&, std::string const& name, size_t fromSecond, double tolerable, uint64_t seeds = 4);
+// Simulates the pattern with several seeds and checks that the fraction beyond the bound in the worst
+// five seconds of each run is below the limit.
+void checkBound(LoadPattern const&, std::string const& name, size_t fromSecond, double limit, uint64_t seeds = 4);
 
 }
--- a/Tests/LoadPatterns/TestOrders.cpp
+++ b/Tests/LoadPatterns/TestOrders.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Ninety upstreams of the users' sheet that shifted, a third of which comes back cold.
-StreamPattern hallThatComesBackCold()
+// Ninety upstreams, as in the users' sheet that shifted, a third of which returns cold.
+LoadPattern hallReturningCold()
 {
-    StreamPattern pattern;
+    LoadPattern pattern;
     pattern.daemons = 73;
     pattern.upstreams = 90;
     pattern.requestsPerSecond = 435;
@@ -19,21 +19,21 @@
     pattern.countsInterval = Milliseconds(500);
     pattern.countsAge = Milliseconds(600);
     pattern.seconds = 16;
-    pattern.clumpShare = 12;
-    pattern.runsBeforeTraffic = true;
-    pattern.readsLikeEngines = true;
+    pattern.batchPercent = 12;
+    pattern.startsBeforeTraffic = true;
+    pattern.modelsPrefill = true;
     pattern.asksOwners = true;
-    pattern.coldBound = { 8.9, 1.5, 5, Seconds(3) };
-    pattern.absence = Absence { 30, 4, 8, true, true };
+    pattern.coldStartLimit = { 8.9, 1.5, 5, Seconds(3) };
+    pattern.outage = UpstreamOutage { 30, 4, 8, true, true };
     return pattern;
 }
 
-void playCold(StreamPattern const& pattern, std::string const& name)
+void checkColdReturn(LoadPattern const& pattern, std::string const& name)
 {
     for (uint64_t seed = 1; seed <= 4; ++seed) {
-        auto const outcome = StreamFleet(pattern, {}, seed).play();
-        BOOST_TEST_MESSAGE(name << ", seed " << seed << ": " << outcome.mostInAColdSecond << " in a cold second, " << pattern.coldBound.fleetLimit() << " allowed, " << outcome.unplaced << " not placed, in time from second 8 " << outcome.inTimeShare(8, 16) << ", reused " << outcome.reusedShare(8));
-        BOOST_TEST(outcome.mostInAColdSecond <= pattern.coldBound.fleetLimit());
+        auto const outcome = FleetSimulation(pattern, {}, seed).simulate();
+        BOOST_TEST_MESSAGE(name << ", seed " << seed << ": " << outcome.maxColdRequestsPerSecond << " at most per second while cold, " << pattern.coldStartLimit.fleetLimit() << " allowed, " << outcome.unplaced << " not placed, in time from second 8 " << outcome.inTimeShare(8, 16) << ", reused " << outcome.reusedShare(8));
+        BOOST_TEST(outcome.maxColdRequestsPerSecond <= pattern.coldStartLimit.fleetLimit());
         BOOST_TEST(outcome.unplaced == 0u);
         BOOST_TEST(outcome.inTimeShare(8, 16) > 0.95);
     }
@@ -43,95 +43,96 @@
 
 BOOST_AUTO_TEST_CASE(AHallThatComesBackColdIsNotOverrun)
 {
-    playCold(hallThatComesBackCold(), "a third comes back cold");
+    checkColdReturn(hallReturningCold(), "a third comes back cold");
 }
 
 BOOST_AUTO_TEST_CASE(AHallThatComesBackColdInABurstIsNotOverrun)
 {
-    auto pattern = hallThatComesBackCold();
-    pattern.surge = 1.7;
-    pattern.surgeFrom = 7;
-    pattern.surgeUntil = 12;
-    playCold(pattern, "a third comes back cold in a burst");
+    auto pattern = hallReturningCold();
+    pattern.surgeFactor = 1.7;
+    pattern.surgeFromSecond = 7;
+    pattern.surgeUntilSecond = 12;
+    checkColdReturn(pattern, "a third comes back cold in a burst");
 }
 
-// Four times the traffic for eight seconds: what came in the rush is still there when the mean
+// Four times the traffic for eight seconds: requests of the surge are still in flight when the mean
 // has fallen.
 BOOST_AUTO_TEST_CASE(OwnersKeepTheBoundWhenALongRushIsOver)
 {
-    auto pattern = hallThatComesBackCold();
-    pattern.absence.reset();
-    pattern.surge = 4;
-    pattern.surgeFrom = 2;
-    pattern.surgeUntil = 10;
+    auto pattern = hallReturningCold();
+    pattern.outage.reset();
+    pattern.surgeFactor = 4;
+    pattern.surgeFromSecond = 2;
+    pattern.surgeUntilSecond = 10;
     pattern.countsInterval = Milliseconds(700);
     pattern.countsAge = Milliseconds(1000);
-    play(pattern, "a long rush that ends", 0, tolerableInCalm, 8);
+    checkBound(pattern, "a long rush that ends", 0, maxBeyondBoundInCalm, 8);
 }
 
-// A third gets nothing further just as a rush ends: the mean of all falls by both.
+// A third of the upstreams is taken out as a surge ends, and both lower the mean.
 BOOST_AUTO_TEST_CASE(OwnersKeepTheBoundWhenAHallIsEmptiedAsARushEnds)
 {
-    auto pattern = hallThatComesBackCold();
-    pattern.absence = Absence { 30, 8, 15, false, false, 0, true };
-    pattern.surge = 1.6;
-    pattern.surgeFrom = 4;
-    pattern.surgeUntil = 9;
-    play(pattern, "a hall is emptied as a rush ends", 4, tolerableInCalm, 8);
+    auto pattern = hallReturningCold();
+    pattern.outage = UpstreamOutage { 30, 8, 15, false, false, 0, true };
+    pattern.surgeFactor = 1.6;
+    pattern.surgeFromSecond = 4;
+    pattern.surgeUntilSecond = 9;
+    checkBound(pattern, "a hall is emptied as a rush ends", 4, maxBeyondBoundInCalm, 8);
 }
 
-// Without any rush.
+// The same without a surge.
 BOOST_AUTO_TEST_CASE(OwnersKeepTheBoundWhenAHallIsEmptied)
 {
-    auto pattern = hallThatComesBackCold();
-    pattern.absence = Absence { 30, 5, 15, false, false, 0, true };
-    play(pattern, "a hall is emptied", 4, tolerableInCalm, 8);
+    auto pattern = hallReturningCold();
+    pattern.outage = UpstreamOutage { 30, 5, 15, false, false, 0, true };
+    checkBound(pattern, "a hall is emptied", 4, maxBeyondBoundInCalm, 8);
 }
 
-// Two thirds get nothing further: those that are left would be beyond the bound by their mean
-// alone, so that requests have to be turned away, the urgent ones last.
+// Two thirds of the upstreams are taken out: the mean load of the rest alone would exceed the bound,
+// so that requests must be refused, the most urgent ones last.
 BOOST_AUTO_TEST_CASE(OwnersKeepTheBoundWhenTwoHallsAreEmptied)
 {
-    auto pattern = hallThatComesBackCold();
-    pattern.absence = Absence { 60, 5, 12, false, false, 0, true };
-    play(pattern, "two halls are emptied", 4, tolerableInCalm, 8);
-    auto const outcome = StreamFleet(pattern, {}, 1).play();
-    BOOST_TEST_MESSAGE("two halls are emptied: turned away " << outcome.refusedShare(6, 12) << ", in time " << outcome.inTimeShare(6, 12));
+    auto pattern = hallReturningCold();
+    pattern.outage = UpstreamOutage { 60, 5, 12, false, false, 0, true };
+    checkBound(pattern, "two halls are emptied", 4, maxBeyondBoundInCalm, 8);
+    auto const outcome = FleetSimulation(pattern, {}, 1).simulate();
+    BOOST_TEST_MESSAGE("two halls are emptied: refused " << outcome.refusedShare(6, 12) << ", in time " << outcome.inTimeShare(6, 12));
     BOOST_TEST(outcome.refusedShare(0, 5) == 0);
     BOOST_TEST(outcome.refusedShare(13, 16) == 0);
 }
 
-// A third comes back with nothing: what its contexts' requests went to meanwhile holds them.
+// A third of the upstreams returns without its contexts, which the upstreams that served their
+// requests meanwhile hold.
 BOOST_AUTO_TEST_CASE(ContextsOfAHallThatComesBackAreCopiedFromWhoHoldsThem)
 {
-    auto pattern = hallThatComesBackCold();
-    pattern.absence->losesContexts = true;
-    auto const play = [&](bool asksHolders, uint64_t seed) {
+    auto pattern = hallReturningCold();
+    pattern.outage->losesContexts = true;
+    auto const simulateReturn = [&](bool asksHolders, uint64_t seed) {
         pattern.asksHolders = asksHolders;
-        return StreamFleet(pattern, {}, seed).play();
+        return FleetSimulation(pattern, {}, seed).simulate();
     };
     for (uint64_t seed = 1; seed <= 4; ++seed) {
-        auto const guessed = play(false, seed);
-        auto const asked = play(true, seed);
-        BOOST_TEST_MESSAGE("a third comes back, seed " << seed << ": read again though held " << guessed.readThoughHeld << " (" << guessed.copied << " copied) where the source is guessed, " << asked.readThoughHeld << " (" << asked.copied << ") where holders are asked");
-        BOOST_TEST(2 * asked.readThoughHeld < guessed.readThoughHeld);
+        auto const guessed = simulateReturn(false, seed);
+        auto const asked = simulateReturn(true, seed);
+        BOOST_TEST_MESSAGE("a third comes back, seed " << seed << ": redundant prefills " << guessed.redundantPrefills << " (" << guessed.transferredContexts << " transferred) with guessed sources, " << asked.redundantPrefills << " (" << asked.transferredContexts << ") with holders asked");
+        BOOST_TEST(2 * asked.redundantPrefills < guessed.redundantPrefills);
     }
 }
 
-// Nobody knows for a second and a half that they are cold.
+// The daemons learn only after 1.5 s that the upstreams are cold.
 BOOST_AUTO_TEST_CASE(AHallWhoseColdnessIsToldLateIsNotOverrun)
 {
-    auto pattern = hallThatComesBackCold();
-    pattern.absence->coldToldAfterSeconds = 1.5;
-    playCold(pattern, "a third comes back cold, told late");
+    auto pattern = hallReturningCold();
+    pattern.outage->coldReportDelaySeconds = 1.5;
+    checkColdReturn(pattern, "a third comes back cold, reported late");
 }
 
 BOOST_AUTO_TEST_CASE(AHallThatComesBackColdKeepsItsBoundWhereMessagesAreLost)
 {
-    auto pattern = hallThatComesBackCold();
-    pattern.messageTime = Milliseconds(4);
-    pattern.lostMessages = 5;
-    playCold(pattern, "a third comes back cold, messages lost");
+    auto pattern = hallReturningCold();
+    pattern.messageLatency = Milliseconds(4);
+    pattern.messageLossPercent = 5;
+    checkColdReturn(pattern, "a third comes back cold, messages lost");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
